--- a/lilacpass-lab/src/callers.rs
+++ b/lilacpass-lab/src/callers.rs
@@ -1,6 +1,6 @@
 //! A model of callers: each hands its job in, and tries again where it is refused.
 
-use lilacpass_lead::event::Answer;
+use lilacpass_lead::event::Response;
 
 /// How long a caller waits for an answer, in milliseconds.
 pub const PATIENCE_MS: u64 = 3_000;
@@ -36,16 +36,16 @@
 
 impl Caller {
     /// Takes an answer in. Returns when the caller tries again, if it does.
-    pub fn answered(&mut self, answer: &Answer, now_ms: u64) -> Option<u64> {
+    pub fn answered(&mut self, answer: &Response, now_ms: u64) -> Option<u64> {
         if self.standing != Standing::Open {
             return None;
         }
         match answer {
-            Answer::Done => {
+            Response::Done => {
                 self.standing = Standing::Accepted;
                 None
             }
-            Answer::Refused { retry_after_ms, .. } => {
+            Response::Refused { retry_after_ms, .. } => {
                 self.tries += 1;
                 if self.tries > MOST_RETRIES {
                     self.standing = Standing::GivenUp;
--- a/lilacpass-lab/src/cell.rs
+++ b/lilacpass-lab/src/cell.rs
@@ -14,7 +14,7 @@
 use lilacpass_jobs::{How, JobKey, StepName, TaskName, WorkerName, record};
 use lilacpass_lead::{
     Effect, Event, Leader, Now, Options,
-    event::{Answer, Ask, CallError, Lane, Record, Token},
+    event::{CallError, Lane, Record, Request, RequestId, Response},
 };
 use lilacpass_schema::v1;
 use prost::Message;
@@ -176,7 +176,7 @@
         self.recorder.round(begin.elapsed());
         for effect in effects {
             let delay_ms = match &effect {
-                Effect::Reply { .. } | Effect::Append(_) | Effect::Advise { .. } => 0,
+                Effect::Reply { .. } | Effect::Append(_) | Effect::RequestAdvice { .. } => 0,
                 _ => HOP_MS,
             };
             self.plan(self.now_ms + delay_ms, Action::Arrive(effect));
@@ -206,7 +206,7 @@
         let play_ms = self.play_ms();
         if services::append_ms(self.scenario, play_ms).is_some() {
             let sent_ms = self.now_ms;
-            self.leader.handle(Event::Confirmed { sent_ms }, self.now());
+            self.leader.handle(Event::LeadershipConfirmed { sent_ms }, self.now());
         }
     }
 
@@ -214,13 +214,13 @@
         let now = self.now();
         if self.now_ms == 0 {
             for worker in &self.workers {
-                self.leader.handle(Event::WorkerListed(worker.entry.clone()), now);
+                self.leader.handle(Event::WorkerRegistered(worker.entry.clone()), now);
             }
             let lanes = (0..self.scenario.advice.lanes).map(|n| Lane(format!("lane-{n:03}")));
             self.leader.handle(Event::Lanes(lanes.collect()), now);
         }
         self.set_capacities();
-        self.leader.handle(Event::WorkersRead, now);
+        self.leader.handle(Event::RegistrationsRead, now);
         self.plan(self.now_ms + REGISTRY_MS, Action::Registry);
     }
 
@@ -238,21 +238,22 @@
         let class = &self.scenario.classes[arrival.class];
         let step = StepName { job: arrival.key, occurrence: 0, step: 0 };
         self.recorder.ready(step, self.now_ms);
-        let ask = Ask::Submit {
+        let request = Request::Submit {
             job: arrival.key,
             plan: arrival.plan(class),
             queue: arrivals::queue(class, self.scenario),
         };
-        self.leader.handle(Event::Asked { token: Token(job as u64), ask }, self.now());
+        self.leader
+            .handle(Event::Request { request_id: RequestId(job as u64), request }, self.now());
     }
 
     fn arrive(&mut self, effect: Effect) {
         match effect {
-            Effect::Reply { token, answer } => self.caller_hears(token, &answer),
+            Effect::Reply { request_id, response } => self.caller_hears(request_id, &response),
             Effect::Append(records) => self.append(&records),
-            Effect::Advise { lane, step, workers, .. } => self.advise(lane, step, workers),
-            Effect::Look { worker, lease_until_ms, forget_upto, wait_ms, extra, .. } => {
-                self.look(&worker, lease_until_ms, forget_upto, wait_ms, extra);
+            Effect::RequestAdvice { lane, step, workers, .. } => self.advise(lane, step, workers),
+            Effect::Poll { worker, lease_until_ms, forget_up_to, wait_ms, extra, .. } => {
+                self.look(&worker, lease_until_ms, forget_up_to, wait_ms, extra);
             }
             Effect::Start { worker, task, run, lease_until_ms, checkpoint, .. } => {
                 let result = self.start(&worker, task, run, lease_until_ms, &checkpoint);
@@ -268,8 +269,8 @@
         }
     }
 
-    fn caller_hears(&mut self, token: Token, answer: &Answer) {
-        let job = token.0 as usize;
+    fn caller_hears(&mut self, request_id: RequestId, answer: &Response) {
+        let job = request_id.0 as usize;
         if let Some(again_ms) = self.callers[job].answered(answer, self.now_ms) {
             self.plan(again_ms, Action::Submit(job));
         }
@@ -311,7 +312,7 @@
         let free_ms = self.lanes_free_ms.get(&lane).copied().unwrap_or(0).max(self.now_ms);
         let answered_ms = free_ms + takes_ms + HOP_MS;
         self.lanes_free_ms.insert(lane.clone(), answered_ms);
-        let event = Event::Advised { lane, step, asked: workers, advice };
+        let event = Event::AdviceReceived { lane, step, asked: workers, advice };
         self.plan(answered_ms, Action::Tell(event));
     }
 
@@ -319,7 +320,7 @@
         &mut self,
         name: &WorkerName,
         lease_until_ms: Option<u64>,
-        forget_upto: u64,
+        forget_up_to: u64,
         wait_ms: u64,
         extra: bool,
     ) {
@@ -331,7 +332,7 @@
         if worker.is_away {
             return self.unanswered_look(name, now_ms, extra);
         }
-        worker.look(lease_until_ms, forget_upto);
+        worker.look(lease_until_ms, forget_up_to);
         if wait_ms == 0 || worker.lists_ends() {
             return self.answer_look(at, now_ms, extra);
         }
@@ -343,7 +344,7 @@
 
     fn answer_look(&mut self, at: usize, sent_ms: u64, extra: bool) {
         let worker = &self.workers[at];
-        let event = Event::Looked {
+        let event = Event::Polled {
             worker: worker.name().clone(),
             sent_ms,
             extra,
--- a/lilacpass-lab/src/model_worker.rs
+++ b/lilacpass-lab/src/model_worker.rs
@@ -4,7 +4,9 @@
 
 use lilacpass_core::Resources;
 use lilacpass_jobs::{End, How, TaskName, WorkerName};
-use lilacpass_lead::event::{CallError, EndRow, LookAnswer, Refusal, Registration, RunningRow};
+use lilacpass_lead::event::{
+    CallError, PollResponse, Refusal, Registration, ReportedEnd, ReportedRun,
+};
 
 /// How long a stop takes.
 const STOP_MS: u64 = 100;
@@ -75,7 +77,7 @@
     /// A look that waits here.
     pub waiting_look: Option<WaitingLook>,
     lease_until_ms: u64,
-    ends: Vec<EndRow>,
+    ends: Vec<ReportedEnd>,
     next_end: u64,
     over: BTreeMap<TaskName, u32>,
 }
@@ -132,7 +134,7 @@
     }
 
     /// Lets time pass. Returns the ends that are new.
-    pub fn advance(&mut self, now_ms: u64) -> Vec<EndRow> {
+    pub fn advance(&mut self, now_ms: u64) -> Vec<ReportedEnd> {
         let known = self.ends.len();
         let has_lapsed = now_ms >= self.lease_until_ms;
         let over: Vec<(TaskName, How)> = self
@@ -153,7 +155,7 @@
         let Some(run) = self.runs.remove(&task) else { return };
         self.over.insert(task, run.run);
         let end = End { run: run.run, how, checkpoint: run.checkpoint(now_ms) };
-        self.ends.push(EndRow { number: self.next_end, task, end });
+        self.ends.push(ReportedEnd { number: self.next_end, task, end });
         self.next_end += 1;
     }
 
@@ -163,21 +165,21 @@
     }
 
     /// A look arrives: leases are extended, ends forgotten.
-    pub fn look(&mut self, lease_until_ms: Option<u64>, forget_upto: u64) {
+    pub fn look(&mut self, lease_until_ms: Option<u64>, forget_up_to: u64) {
         self.lease_until_ms = self.lease_until_ms.max(lease_until_ms.unwrap_or(0));
-        self.ends.retain(|row| row.number > forget_upto);
+        self.ends.retain(|row| row.number > forget_up_to);
     }
 
     /// What it answers to a look.
-    pub fn look_answer(&self, now_ms: u64) -> LookAnswer {
-        let row = |(task, run): (&TaskName, &Running)| RunningRow {
+    pub fn look_answer(&self, now_ms: u64) -> PollResponse {
+        let row = |(task, run): (&TaskName, &Running)| ReportedRun {
             task: *task,
             run: run.run,
             checkpoint: run.checkpoint(now_ms),
             percent: run.percent(now_ms),
             gauge: 0,
         };
-        LookAnswer {
+        PollResponse {
             clock_ms: now_ms,
             running: self.runs.iter().map(row).collect(),
             ends: self.ends.clone(),
--- a/lilacpass-lab/src/services.rs
+++ b/lilacpass-lab/src/services.rs
@@ -3,7 +3,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use lilacpass_jobs::{StepName, WorkerName};
-use lilacpass_lead::event::{Advice, TicketRow};
+use lilacpass_lead::event::{Advice, WorkerTicket};
 
 use crate::scenario::{FaultKind, Scenario};
 
@@ -42,7 +42,8 @@
         (step, worker.as_str()).hash(&mut hasher);
         hasher.finish() % 100 < advice.allowed_percent
     };
-    let ticket = |worker: &WorkerName| TicketRow { worker: worker.clone(), ticket: "t".to_owned() };
+    let ticket =
+        |worker: &WorkerName| WorkerTicket { worker: worker.clone(), ticket: "t".to_owned() };
     let good = workers.iter().filter(is_allowed).map(ticket).collect();
     (takes_ms as u64, Some(Advice { good, valid_ms: u64::from(advice.valid_ms) }))
 }
--- a/lilacpass-lab/src/worker_faults.rs
+++ b/lilacpass-lab/src/worker_faults.rs
@@ -71,14 +71,14 @@
         self.workers[at].comes_back(self.lives);
         self.by_name.insert(self.workers[at].name().clone(), at);
         let entry = self.workers[at].entry.clone();
-        self.leader.handle(Event::WorkerUnlisted(former), self.now());
-        self.leader.handle(Event::WorkerListed(entry), self.now());
+        self.leader.handle(Event::WorkerUnregistered(former), self.now());
+        self.leader.handle(Event::WorkerRegistered(entry), self.now());
     }
 
     /// A look at a worker that crashed gets no answer.
     pub(crate) fn unanswered_look(&mut self, worker: &WorkerName, sent_ms: u64, extra: bool) {
         let result = Err(CallError::Failed(Verdict::MayHaveRun));
-        let event = Event::Looked { worker: worker.clone(), sent_ms, extra, result };
+        let event = Event::Polled { worker: worker.clone(), sent_ms, extra, result };
         self.plan(self.now_ms + CALL_TIMEOUT_MS, Action::Tell(event));
     }
 
@@ -86,7 +86,7 @@
     pub(crate) fn look_at_former_life(&mut self, worker: &WorkerName, extra: bool) {
         let sent_ms = self.now_ms;
         let result = Err(CallError::OtherLife);
-        let event = Event::Looked { worker: worker.clone(), sent_ms, extra, result };
+        let event = Event::Polled { worker: worker.clone(), sent_ms, extra, result };
         self.plan(self.now_ms + HOP_MS, Action::Tell(event));
     }
 
@@ -101,7 +101,7 @@
             if worker.entry.capacity != capacity {
                 worker.resized_ms = now.steady_ms;
                 worker.entry.capacity = capacity;
-                self.leader.handle(Event::WorkerListed(worker.entry.clone()), now);
+                self.leader.handle(Event::WorkerRegistered(worker.entry.clone()), now);
             }
         }
     }
--- a/lilacpass-lead/benches/cell/mod.rs
+++ b/lilacpass-lead/benches/cell/mod.rs
@@ -7,7 +7,10 @@
 use lilacpass_jobs::{End, How, JobKey, TaskName, WorkerName};
 use lilacpass_lead::{
     Effect, Event, Leader, Now, Options,
-    event::{Advice, Ask, EndRow, Lane, LookAnswer, Registration, RunningRow, TicketRow, Token},
+    event::{
+        Advice, Lane, PollResponse, Registration, ReportedEnd, ReportedRun, Request, RequestId,
+        WorkerTicket,
+    },
 };
 use lilacpass_schema::v1;
 
@@ -110,7 +113,7 @@
                 labels: vec!["large".to_owned(), format!("rack-{}", number / 16)],
                 draining: false,
             };
-            self.leader.handle(Event::WorkerListed(entry), self.now());
+            self.leader.handle(Event::WorkerRegistered(entry), self.now());
             self.hosts.push(Host { name, running: Vec::new(), last_end: 0 });
         }
         let lanes = (0..LANES).map(|lane| Lane(format!("lane-{lane}"))).collect();
@@ -128,8 +131,8 @@
 
     fn submission(&mut self, count: u32, queue: v1::QueuePolicy) -> Event {
         self.jobs += 1;
-        let ask = Ask::Submit { job: JobKey(self.jobs), plan: plan(count), queue };
-        Event::Asked { token: Token(self.jobs), ask }
+        let request = Request::Submit { job: JobKey(self.jobs), plan: plan(count), queue };
+        Event::Request { request_id: RequestId(self.jobs), request }
     }
 
     /// A queue of the service of the worker at hand; its sort changes from job to job.
@@ -143,7 +146,7 @@
         let host = &mut self.hosts[at];
         let ended: Vec<(TaskName, u32)> =
             host.running.drain(..ends.min(host.running.len())).collect();
-        let row = |&(task, run): &(TaskName, u32)| RunningRow {
+        let row = |&(task, run): &(TaskName, u32)| ReportedRun {
             task,
             run,
             checkpoint: String::new(),
@@ -155,16 +158,17 @@
         for (task, run) in ended {
             host.last_end += 1;
             let end = End { run, how: How::Done, checkpoint: String::new() };
-            rows.push(EndRow { number: host.last_end, task, end });
+            rows.push(ReportedEnd { number: host.last_end, task, end });
         }
-        let answer = LookAnswer { clock_ms: now_ms, running, ends: rows, ..LookAnswer::default() };
+        let answer =
+            PollResponse { clock_ms: now_ms, running, ends: rows, ..PollResponse::default() };
         let sent_ms = now_ms - 1;
-        Event::Looked { worker: host.name.clone(), sent_ms, extra: false, result: Ok(answer) }
+        Event::Polled { worker: host.name.clone(), sent_ms, extra: false, result: Ok(answer) }
     }
 
     fn look_at_all(&mut self) {
         self.looks_ms = self.now_ms + LOOKS_MS;
-        self.leader.handle(Event::Confirmed { sent_ms: self.now_ms }, self.now());
+        self.leader.handle(Event::LeadershipConfirmed { sent_ms: self.now_ms }, self.now());
         for at in 0..self.hosts.len() {
             let event = self.look(at, 0);
             self.leader.handle(event, self.now());
@@ -194,11 +198,11 @@
                     self.hosts[at].running.push((task, run));
                     answers.push(Event::Started { worker, task, run, result: Ok(()) });
                 }
-                Effect::Advise { lane, step, workers, .. } => {
+                Effect::RequestAdvice { lane, step, workers, .. } => {
                     answers.push(advised(lane, step, workers));
                 }
                 Effect::Reply { .. }
-                | Effect::Look { .. }
+                | Effect::Poll { .. }
                 | Effect::Stop { .. }
                 | Effect::Deposed => {}
             }
@@ -219,7 +223,7 @@
             Case::FullRound => FULL_ROUND_MS,
             Case::Review => 2 * FULL_ROUND_MS,
         };
-        self.leader.handle(Event::Confirmed { sent_ms: self.now_ms }, self.now());
+        self.leader.handle(Event::LeadershipConfirmed { sent_ms: self.now_ms }, self.now());
         if self.now_ms >= self.looks_ms {
             self.look_at_all();
         }
@@ -266,8 +270,9 @@
                 self.submit(WIDTH, self.next_queue());
             }
             Case::NewJob => {
-                let ask = Ask::Cancel(JobKey(self.jobs));
-                self.leader.handle(Event::Asked { token: Token(0), ask }, self.now());
+                let request = Request::Cancel(JobKey(self.jobs));
+                self.leader
+                    .handle(Event::Request { request_id: RequestId(0), request }, self.now());
             }
             Case::QuietLook | Case::FullRound | Case::Review => return,
         }
@@ -276,9 +281,10 @@
 }
 
 fn advised(lane: Lane, step: lilacpass_jobs::StepName, asked: Vec<WorkerName>) -> Event {
-    let ticket = |worker: &WorkerName| TicketRow { worker: worker.clone(), ticket: "t".to_owned() };
+    let ticket =
+        |worker: &WorkerName| WorkerTicket { worker: worker.clone(), ticket: "t".to_owned() };
     let good = asked.iter().map(ticket).collect();
-    Event::Advised { lane, step, asked, advice: Some(Advice { good, valid_ms: TICKET_MS }) }
+    Event::AdviceReceived { lane, step, asked, advice: Some(Advice { good, valid_ms: TICKET_MS }) }
 }
 
 fn service(number: usize) -> String {
--- a/lilacpass-lead/benches/flow.rs
+++ b/lilacpass-lead/benches/flow.rs
@@ -14,7 +14,10 @@
 use lilacpass_jobs::{End, How, JobKey, StepName, TaskName, WorkerName};
 use lilacpass_lead::{
     Effect, Event, Leader, Now, Options,
-    event::{Advice, Ask, EndRow, Lane, LookAnswer, Registration, RunningRow, TicketRow, Token},
+    event::{
+        Advice, Lane, PollResponse, Registration, ReportedEnd, ReportedRun, Request, RequestId,
+        WorkerTicket,
+    },
 };
 use lilacpass_schema::v1;
 
@@ -57,7 +60,7 @@
 struct Host {
     name: WorkerName,
     running: BTreeMap<TaskName, u32>,
-    ends: Vec<EndRow>,
+    ends: Vec<ReportedEnd>,
     last_end: u64,
     /// The look that waits, and when it was sent.
     look: Option<(u64, u64)>,
@@ -112,7 +115,7 @@
             labels: vec!["a".to_owned(), format!("rack-{}", number / 8)],
             draining: false,
         };
-        self.plan(0, Todo::Tell(Event::WorkerListed(entry)));
+        self.plan(0, Todo::Tell(Event::WorkerRegistered(entry)));
         let (running, ends) = (BTreeMap::new(), Vec::new());
         self.hosts.push(Host { name, running, ends, last_end: 0, look: None });
     }
@@ -145,7 +148,7 @@
             Todo::Submit => self.submit(),
             Todo::Tick => {
                 self.plan(TICK_MS, Todo::Tick);
-                self.tell(Event::Confirmed { sent_ms: self.now_ms });
+                self.tell(Event::LeadershipConfirmed { sent_ms: self.now_ms });
                 self.tell(Event::Tick);
             }
             Todo::SetLanes => {
@@ -173,13 +176,13 @@
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::Append(_) => self.plan(APPEND_MS, Todo::Tell(Event::Appended)),
-            Effect::Look { worker, forget_upto, wait_ms, .. } => {
+            Effect::Poll { worker, forget_up_to, wait_ms, .. } => {
                 let at = self.host(&worker);
                 self.looks += 1;
                 let look = self.looks;
                 let host = &mut self.hosts[at];
                 host.look = Some((look, self.now_ms));
-                host.ends.retain(|row| row.number > forget_upto);
+                host.ends.retain(|row| row.number > forget_up_to);
                 let wait_ms = if host.ends.is_empty() { wait_ms } else { 0 };
                 self.plan(wait_ms, Todo::Waited { host: at, look });
             }
@@ -193,7 +196,7 @@
                 let event = Event::Started { worker, task, run, result: Ok(()) };
                 self.plan(ANSWER_MS, Todo::Tell(event));
             }
-            Effect::Advise { lane, step, workers, expected_ms } => {
+            Effect::RequestAdvice { lane, step, workers, expected_ms } => {
                 self.plan(expected_ms, Todo::Tell(advised(lane, step, workers)));
             }
             Effect::Stop { worker, task, run, .. } => {
@@ -213,7 +216,7 @@
         host.running.remove(&task);
         host.last_end += 1;
         let end = End { run, how: How::Done, checkpoint: String::new() };
-        host.ends.push(EndRow { number: host.last_end, task, end });
+        host.ends.push(ReportedEnd { number: host.last_end, task, end });
         if host.look.is_some() {
             self.answer_look(at);
         }
@@ -223,7 +226,7 @@
         let clock_ms = self.now_ms;
         let host = &mut self.hosts[at];
         let Some((_, sent_ms)) = host.look.take() else { return };
-        let row = |(&task, &run): (&TaskName, &u32)| RunningRow {
+        let row = |(&task, &run): (&TaskName, &u32)| ReportedRun {
             task,
             run,
             checkpoint: String::new(),
@@ -231,9 +234,10 @@
             gauge: 0,
         };
         let running = host.running.iter().map(row).collect();
-        let answer = LookAnswer { clock_ms, running, ends: host.ends.clone(), remaining_ms: None };
+        let answer =
+            PollResponse { clock_ms, running, ends: host.ends.clone(), remaining_ms: None };
         let worker = host.name.clone();
-        let event = Event::Looked { worker, sent_ms, extra: false, result: Ok(answer) };
+        let event = Event::Polled { worker, sent_ms, extra: false, result: Ok(answer) };
         self.plan(ANSWER_MS, Todo::Tell(event));
     }
 
@@ -251,8 +255,8 @@
         let width = (if is_long { 16 } else { 5 }) + (number * 7 % 17) as u32;
         let steps = 1 + number as usize % 2;
         let plan = plan(steps, width, 9_000 + (number * 37 % 11) as u32 * 1_000, estimate_ms);
-        let ask = Ask::Submit { job, plan, queue };
-        self.tell(Event::Asked { token: Token(number), ask });
+        let request = Request::Submit { job, plan, queue };
+        self.tell(Event::Request { request_id: RequestId(number), request });
     }
 }
 
@@ -262,9 +266,10 @@
         let last = worker.as_str().bytes().last().map_or(0, u64::from);
         !(last + step.job.0).is_multiple_of(3)
     };
-    let ticket = |worker: &WorkerName| TicketRow { worker: worker.clone(), ticket: "t".to_owned() };
+    let ticket =
+        |worker: &WorkerName| WorkerTicket { worker: worker.clone(), ticket: "t".to_owned() };
     let good = asked.iter().filter(is_good).map(ticket).collect();
-    Event::Advised { lane, step, asked, advice: Some(Advice { good, valid_ms: TICKET_MS }) }
+    Event::AdviceReceived { lane, step, asked, advice: Some(Advice { good, valid_ms: TICKET_MS }) }
 }
 
 fn queue(name: &str, priority: u32, (base_ms, per_worker_ms): (f64, f64)) -> v1::QueuePolicy {
--- a/lilacpass-lead/src/asking.rs
+++ b/lilacpass-lead/src/asking.rs
@@ -102,7 +102,7 @@
             expected_ms, lane = lane.0.as_str();
             "advice asked"
         );
-        self.effects.push(Effect::Advise { lane, step: name, workers, expected_ms });
+        self.effects.push(Effect::RequestAdvice { lane, step: name, workers, expected_ms });
     }
 
     /// Notes whether and when a step may ask.
--- a/lilacpass-lead/src/asks.rs
+++ b/lilacpass-lead/src/asks.rs
@@ -4,7 +4,7 @@
 use lilacpass_schema::v1;
 
 use crate::{
-    event::{Answer, Ask, Effect, JobState, Now, Token},
+    event::{Effect, JobState, Now, Request, RequestId, Response},
     leader::{Entry, Leader},
     outbox::After,
     place,
@@ -23,18 +23,18 @@
 }
 
 impl Leader {
-    pub(crate) fn on_asked(&mut self, token: Token, ask: Ask, now: Now) {
-        match ask {
-            Ask::Submit { job, plan, queue } => self.submit(token, job, plan, queue, now),
-            Ask::State(job) => self.tell_state(token, job, now),
-            Ask::Cancel(job) => self.cancel(token, job, now),
-            Ask::Pending { queue } => self.tell_pending(token, &queue, now),
+    pub(crate) fn on_asked(&mut self, request_id: RequestId, request: Request, now: Now) {
+        match request {
+            Request::Submit { job, plan, queue } => self.submit(request_id, job, plan, queue, now),
+            Request::State(job) => self.tell_state(request_id, job, now),
+            Request::Cancel(job) => self.cancel(request_id, job, now),
+            Request::Pending { queue } => self.tell_pending(request_id, &queue, now),
         }
     }
 
     fn submit(
         &mut self,
-        token: Token,
+        request_id: RequestId,
         key: JobKey,
         plan: v1::WorkPlan,
         queue: v1::QueuePolicy,
@@ -43,24 +43,24 @@
         if let Some(entry) = self.jobs.get(&key) {
             let same = entry.job.plan == plan;
             if !same {
-                return self.reply(token, Answer::Conflict);
+                return self.reply(request_id, Response::Conflict);
             }
             if entry.stored {
-                return self.reply(token, Answer::Done);
+                return self.reply(request_id, Response::Done);
             }
-            return self.outbox.then(After::Accept(token, key));
+            return self.outbox.then(After::Accept(request_id, key));
         }
         if let Err(err) = plan::check(&plan) {
-            return self.reply(token, Answer::Invalid(err.to_string()));
+            return self.reply(request_id, Response::Invalid(err.to_string()));
         }
         if let Some(reason) = self.impossible(&plan, &queue) {
-            return self.reply(token, Answer::Invalid(reason));
+            return self.reply(request_id, Response::Invalid(reason));
         }
         if self.store_takes_nothing(now) {
-            return self.refuse_for_store(token, key, now);
+            return self.refuse_for_store(request_id, key, now);
         }
         if let Some(retry_after_ms) = self.refuses_new_jobs(now) {
-            return self.refuse_for_pressure(token, key, retry_after_ms);
+            return self.refuse_for_pressure(request_id, key, retry_after_ms);
         }
         log::info!(
             job:% = key, queue = queue.name.as_str(), steps = plan.steps.len(),
@@ -72,23 +72,23 @@
         let job = Job::new(key, record);
         self.jobs.insert(key, Entry::new(job, false));
         self.outbox.waiting.plans.insert(key);
-        self.outbox.then(After::Accept(token, key));
+        self.outbox.then(After::Accept(request_id, key));
         self.reindex(key, now);
     }
 
     /// A job is stored: its caller may be told.
-    pub(crate) fn accept(&mut self, token: Token, key: JobKey) {
+    pub(crate) fn accept(&mut self, request_id: RequestId, key: JobKey) {
         if let Some(entry) = self.jobs.get_mut(&key) {
             entry.stored = true;
         }
-        self.reply(token, Answer::Done);
+        self.reply(request_id, Response::Done);
     }
 
-    fn refuse_for_store(&mut self, token: Token, key: JobKey, now: Now) {
+    fn refuse_for_store(&mut self, request_id: RequestId, key: JobKey, now: Now) {
         let reason = "the store takes nothing";
         log::info!(job:% = key, reason, stuck_ms = self.store_stuck_ms(now); "job refused");
         let retry_after_ms = retry_after_ms(self.store_stuck_ms(now));
-        self.reply(token, Answer::Refused { reason, retry_after_ms });
+        self.reply(request_id, Response::Refused { reason, retry_after_ms });
     }
 
     /// Whether the leader is too far behind to take new jobs, and if so, when their callers may come back.
@@ -103,10 +103,10 @@
     }
 
     /// Refuses a job that nothing was done of.
-    fn refuse_for_pressure(&mut self, token: Token, key: JobKey, retry_after_ms: u32) {
+    fn refuse_for_pressure(&mut self, request_id: RequestId, key: JobKey, retry_after_ms: u32) {
         let reason = "the leader is behind";
         log::info!(job:% = key, reason, behind_ms = self.pressure.behind_ms(); "job refused");
-        self.reply(token, Answer::Refused { reason, retry_after_ms });
+        self.reply(request_id, Response::Refused { reason, retry_after_ms });
     }
 
     /// Whether the store has taken nothing for so long that new jobs are refused.
@@ -126,9 +126,9 @@
         if !self.store_takes_nothing(now) {
             return;
         }
-        for (token, key) in self.outbox.take_back_jobs() {
+        for (request_id, key) in self.outbox.take_back_jobs() {
             self.withdraw(key, now);
-            self.refuse_for_store(token, key, now);
+            self.refuse_for_store(request_id, key, now);
         }
     }
 
@@ -156,9 +156,9 @@
         Some(format!("step {number}: no worker is large enough for its tasks"))
     }
 
-    fn tell_state(&mut self, token: Token, key: JobKey, now: Now) {
+    fn tell_state(&mut self, request_id: RequestId, key: JobKey, now: Now) {
         let Some(entry) = self.jobs.get(&key) else {
-            return self.tell_unknown(token, now);
+            return self.tell_unknown(request_id, now);
         };
         let state = match entry.shown {
             Outcome::Completed => JobState::Completed,
@@ -167,39 +167,39 @@
             Outcome::Open if entry.job.begun => JobState::Running,
             Outcome::Open => JobState::Queued,
         };
-        self.reply(token, Answer::State(state));
+        self.reply(request_id, Response::State(state));
     }
 
     /// Says that a job is unknown, but only as the sure leader: a former one does not know the jobs
     /// of its successor, and a caller who is told so believes that the job is lost.
-    fn tell_unknown(&mut self, token: Token, now: Now) {
+    fn tell_unknown(&mut self, request_id: RequestId, now: Now) {
         if self.is_sure(now) {
-            return self.reply(token, Answer::UnknownJob);
+            return self.reply(request_id, Response::UnknownJob);
         }
-        self.refuse_unsure(token, now);
+        self.refuse_unsure(request_id, now);
     }
 
-    fn refuse_unsure(&mut self, token: Token, now: Now) {
+    fn refuse_unsure(&mut self, request_id: RequestId, now: Now) {
         let reason = "the store has not confirmed the leader";
         let retry_after_ms = retry_after_ms(self.store_stuck_ms(now));
-        self.reply(token, Answer::Refused { reason, retry_after_ms });
+        self.reply(request_id, Response::Refused { reason, retry_after_ms });
     }
 
-    fn cancel(&mut self, token: Token, key: JobKey, now: Now) {
+    fn cancel(&mut self, request_id: RequestId, key: JobKey, now: Now) {
         let Some(entry) = self.jobs.get_mut(&key) else {
-            return self.tell_unknown(token, now);
+            return self.tell_unknown(request_id, now);
         };
         let changed = entry.job.cancel(now.unix_ms);
         if changed {
             log::info!(job:% = key; "job cancelled");
             self.job_ended(key, now);
         }
-        self.outbox.then(After::Reply(token, Answer::Done));
+        self.outbox.then(After::Reply(request_id, Response::Done));
     }
 
-    fn tell_pending(&mut self, token: Token, queue: &str, now: Now) {
+    fn tell_pending(&mut self, request_id: RequestId, queue: &str, now: Now) {
         if !self.is_sure(now) {
-            return self.refuse_unsure(token, now);
+            return self.refuse_unsure(request_id, now);
         }
         let waits = |entry: &&Entry| {
             entry.job.queue.name == queue
@@ -208,10 +208,10 @@
                 && entry.job.outcome == Outcome::Open
         };
         let pending = self.jobs.values().filter(waits).count() as u64;
-        self.reply(token, Answer::Pending(pending));
+        self.reply(request_id, Response::Pending(pending));
     }
 
-    pub(crate) fn reply(&mut self, token: Token, answer: Answer) {
-        self.effects.push(Effect::Reply { token, answer });
+    pub(crate) fn reply(&mut self, request_id: RequestId, response: Response) {
+        self.effects.push(Effect::Reply { request_id, response });
     }
 }
--- a/lilacpass-lead/src/event.rs
+++ b/lilacpass-lead/src/event.rs
@@ -15,11 +15,11 @@
 
 /// Names a request of a caller until it is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Token(pub u64);
+pub struct RequestId(pub u64);
 
 /// What a caller asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ask {
+pub enum Request {
     /// Take a job.
     Submit {
         /// Its name.
@@ -42,7 +42,7 @@
 
 /// What a caller is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum Response {
     /// The job was accepted and is stored, or its cancelling is.
     Done,
     /// The state of a job.
@@ -132,7 +132,7 @@
 
 /// A run that a worker lists.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RunningRow {
+pub struct ReportedRun {
     /// The task.
     pub task: TaskName,
     /// Number of the run.
@@ -148,7 +148,7 @@
 
 /// An end that a worker lists until it is told to forget it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EndRow {
+pub struct ReportedEnd {
     /// Its place among the ends of this worker; from 1, without gaps.
     pub number: u64,
     /// The task.
@@ -159,13 +159,13 @@
 
 /// What a worker answers to a look.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct LookAnswer {
+pub struct PollResponse {
     /// Its steady clock.
     pub clock_ms: u64,
     /// All that runs there.
-    pub running: Vec<RunningRow>,
+    pub running: Vec<ReportedRun>,
     /// Ends that it has not been told to forget, oldest first; at most a page of them.
-    pub ends: Vec<EndRow>,
+    pub ends: Vec<ReportedEnd>,
     /// It drains, and stays at least this long.
     pub remaining_ms: Option<u64>,
 }
@@ -176,7 +176,7 @@
 
 /// Permission to start the tasks of a step on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TicketRow {
+pub struct WorkerTicket {
     /// The worker.
     pub worker: WorkerName,
     /// What to show it.
@@ -187,7 +187,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Advice {
     /// Workers that may run the step; of those asked about, all others may not.
-    pub good: Vec<TicketRow>,
+    pub good: Vec<WorkerTicket>,
     /// How long the tickets are valid from now on.
     pub valid_ms: u64,
 }
@@ -196,23 +196,23 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A caller asks.
-    Asked {
+    Request {
         /// Names the request.
-        token: Token,
+        request_id: RequestId,
         /// What is asked.
-        ask: Ask,
+        request: Request,
     },
     /// The records of the append under way are stored.
     Appended,
     /// The store has surely done nothing of the append under way.
     NotAppended,
     /// The store confirmed, at the time of this call's start, that we still lead.
-    Confirmed {
+    LeadershipConfirmed {
         /// When the call was sent, on the steady clock.
         sent_ms: u64,
     },
     /// A look has ended.
-    Looked {
+    Polled {
         /// The worker.
         worker: WorkerName,
         /// When it was sent, on the steady clock.
@@ -220,7 +220,7 @@
         /// Whether it was an extra look beside the waiting one.
         extra: bool,
         /// Its answer.
-        result: Result<LookAnswer, CallError>,
+        result: Result<PollResponse, CallError>,
     },
     /// A start has ended.
     Started {
@@ -245,7 +245,7 @@
         result: Result<(), CallError>,
     },
     /// A call for advice has ended.
-    Advised {
+    AdviceReceived {
         /// Who called.
         lane: Lane,
         /// The step.
@@ -256,11 +256,11 @@
         advice: Option<Advice>,
     },
     /// A worker has registered or changed.
-    WorkerListed(Registration),
+    WorkerRegistered(Registration),
     /// A worker is no longer registered.
-    WorkerUnlisted(WorkerName),
+    WorkerUnregistered(WorkerName),
     /// All registrations have been read; workers that were not among them are not registered.
-    WorkersRead,
+    RegistrationsRead,
     /// Instances that can call the advice service.
     Lanes(Vec<Lane>),
     /// Time has passed.
@@ -273,14 +273,14 @@
     /// Answer a caller.
     Reply {
         /// Names the request.
-        token: Token,
+        request_id: RequestId,
         /// What to say.
-        answer: Answer,
+        response: Response,
     },
     /// Store records, all or none, and tell when that is done. One at a time.
     Append(Vec<Record>),
     /// Look at a worker and extend the leases there.
-    Look {
+    Poll {
         /// The worker.
         worker: WorkerName,
         /// IP:port.
@@ -288,7 +288,7 @@
         /// Until when, on the worker's clock; none where that clock is not known.
         lease_until_ms: Option<u64>,
         /// Ends up to this number may be forgotten.
-        forget_upto: u64,
+        forget_up_to: u64,
         /// How long to wait for an end.
         wait_ms: u64,
         /// How long the answer may take beyond that.
@@ -327,7 +327,7 @@
         run: u32,
     },
     /// Ask which workers may run a step.
-    Advise {
+    RequestAdvice {
         /// Who is to call.
         lane: Lane,
         /// The step.
--- a/lilacpass-lead/src/holds.rs
+++ b/lilacpass-lead/src/holds.rs
@@ -5,7 +5,7 @@
 use lilacpass_jobs::{End, How, JobKey, WorkerName};
 
 use crate::{
-    event::{CallError, Effect, EndRow, LookAnswer, Now, Refusal, RunningRow},
+    event::{CallError, Effect, Now, PollResponse, Refusal, ReportedEnd, ReportedRun},
     health,
     leader::Leader,
     options::{self, Mechanism},
@@ -29,7 +29,7 @@
         name: &WorkerName,
         sent_ms: u64,
         extra: bool,
-        result: Result<LookAnswer, CallError>,
+        result: Result<PollResponse, CallError>,
         now: Now,
     ) {
         let retry_ms = self.options.look_retry_ms;
@@ -69,7 +69,7 @@
         }
     }
 
-    fn on_look_answer(&mut self, name: &WorkerName, sent_ms: u64, answer: LookAnswer, now: Now) {
+    fn on_look_answer(&mut self, name: &WorkerName, sent_ms: u64, answer: PollResponse, now: Now) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         if worker.failed_looks == 1 {
             self.loss.lost(now.steady_ms);
@@ -134,10 +134,10 @@
     }
 
     /// Handles ends that are new, and lets the worker forget them once they are stored.
-    fn note_ends(&mut self, name: &WorkerName, ends: Vec<EndRow>, now: Now) {
+    fn note_ends(&mut self, name: &WorkerName, ends: Vec<ReportedEnd>, now: Now) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let seen_upto = worker.seen_upto;
-        let new: Vec<EndRow> = ends.into_iter().filter(|row| row.number > seen_upto).collect();
+        let new: Vec<ReportedEnd> = ends.into_iter().filter(|row| row.number > seen_upto).collect();
         let Some(upto) = new.iter().map(|row| row.number).max() else { return };
         worker.seen_upto = upto;
         for row in new {
@@ -187,7 +187,7 @@
         }
     }
 
-    fn note_running(&mut self, name: &WorkerName, rows: &[RunningRow], now: Now) {
+    fn note_running(&mut self, name: &WorkerName, rows: &[ReportedRun], now: Now) {
         for row in rows {
             let key = (row.task, row.run);
             self.note_begun(row.task.step.job);
@@ -381,11 +381,11 @@
             let wait_ms = if worker.commanded && !unnoted { look_wait_ms } else { 0 };
             worker.look = Look::UnderWay;
             self.looks_due.remove(&name);
-            self.effects.push(Effect::Look {
+            self.effects.push(Effect::Poll {
                 worker: worker.entry.name.clone(),
                 address: worker.entry.address.clone(),
                 lease_until_ms,
-                forget_upto: worker.noted_upto,
+                forget_up_to: worker.noted_upto,
                 wait_ms,
                 answer_ms,
                 extra: false,
@@ -400,11 +400,11 @@
             return;
         }
         worker.extra_look = true;
-        self.effects.push(Effect::Look {
+        self.effects.push(Effect::Poll {
             worker: name.clone(),
             address: worker.entry.address.clone(),
             lease_until_ms: None,
-            forget_upto: worker.noted_upto,
+            forget_up_to: worker.noted_upto,
             wait_ms: 0,
             answer_ms: self.options.look_answer_ms,
             extra: true,
--- a/lilacpass-lead/src/leader.rs
+++ b/lilacpass-lead/src/leader.rs
@@ -242,14 +242,16 @@
     /// Takes in an event. Effects are collected until [`Leader::finish`].
     pub fn handle(&mut self, event: Event, now: Now) {
         match event {
-            Event::Asked { token, ask } => self.on_asked(token, ask, now),
+            Event::Request { request_id, request } => self.on_asked(request_id, request, now),
             Event::Appended => self.on_appended(now),
             Event::NotAppended => {
                 self.outbox.refused(now.steady_ms);
                 self.refuse_stuck_jobs(now);
             }
-            Event::Confirmed { sent_ms } => self.confirmed_ms = self.confirmed_ms.max(sent_ms),
-            Event::Looked { worker, sent_ms, extra, result } => {
+            Event::LeadershipConfirmed { sent_ms } => {
+                self.confirmed_ms = self.confirmed_ms.max(sent_ms)
+            }
+            Event::Polled { worker, sent_ms, extra, result } => {
                 self.on_looked(&worker, sent_ms, extra, result, now);
             }
             Event::Started { worker, task, run, result } => {
@@ -258,12 +260,12 @@
             Event::Stopped { worker, task, run, result } => {
                 self.on_stopped(&worker, task, run, result, now);
             }
-            Event::Advised { lane, step, asked, advice } => {
+            Event::AdviceReceived { lane, step, asked, advice } => {
                 self.on_advised(&lane, step, &asked, advice, now);
             }
-            Event::WorkerListed(entry) => self.on_listed(entry),
-            Event::WorkerUnlisted(name) => self.on_unlisted(&name),
-            Event::WorkersRead => self.give_up_missing_workers(now),
+            Event::WorkerRegistered(entry) => self.on_listed(entry),
+            Event::WorkerUnregistered(name) => self.on_unlisted(&name),
+            Event::RegistrationsRead => self.give_up_missing_workers(now),
             Event::Lanes(lanes) => self.lanes.set(lanes),
             Event::Tick => self.on_tick(now),
         }
--- a/lilacpass-lead/src/outbox.rs
+++ b/lilacpass-lead/src/outbox.rs
@@ -4,7 +4,7 @@
 
 use lilacpass_jobs::{JobKey, TaskName, WorkerName};
 
-use crate::event::{Answer, Token};
+use crate::event::{RequestId, Response};
 
 /// Pause before an append that the store refused is sent again.
 const RETRY_MS: u64 = 60;
@@ -13,9 +13,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum After {
     /// Tell a caller that its job is accepted.
-    Accept(Token, JobKey),
+    Accept(RequestId, JobKey),
     /// Answer a caller.
-    Reply(Token, Answer),
+    Reply(RequestId, Response),
     /// Order a run.
     Order {
         /// The worker.
@@ -123,13 +123,13 @@
     }
 
     /// Takes back jobs that have surely not been stored. Returns their callers.
-    pub fn take_back_jobs(&mut self) -> Vec<(Token, JobKey)> {
+    pub fn take_back_jobs(&mut self) -> Vec<(RequestId, JobKey)> {
         let taken = mem::take(&mut self.waiting.plans);
         self.waiting.states.retain(|job| !taken.contains(job));
         let mut callers = Vec::new();
         self.waiting.after.retain(|after| match after {
-            After::Accept(token, job) if taken.contains(job) => {
-                callers.push((*token, *job));
+            After::Accept(request_id, job) if taken.contains(job) => {
+                callers.push((*request_id, *job));
                 false
             }
             After::Accept(..)
--- a/lilacpass-lead/src/recording.rs
+++ b/lilacpass-lead/src/recording.rs
@@ -14,8 +14,10 @@
         self.confirmed_ms = self.confirmed_ms.max(self.append_sent_ms);
         for after in self.outbox.stored() {
             match after {
-                After::Accept(token, key) => self.accept(token, key),
-                After::Reply(token, answer) => self.effects.push(Effect::Reply { token, answer }),
+                After::Accept(request_id, key) => self.accept(request_id, key),
+                After::Reply(request_id, response) => {
+                    self.effects.push(Effect::Reply { request_id, response })
+                }
                 After::Order { worker, task, run } => self.order(&worker, task, run, now),
                 After::Forget { worker, upto } => {
                     if let Some(worker) = self.workers.get_mut(&worker) {
--- a/lilacpass-lead/tests/calls.rs
+++ b/lilacpass-lead/tests/calls.rs
@@ -7,8 +7,8 @@
 use lilacpass_lead::{
     Effect, Event, Leader, Now, Options,
     event::{
-        Answer, Ask, CallError, EndRow, LookAnswer, Record, Refusal, Registration, RunningRow,
-        Token,
+        CallError, PollResponse, Record, Refusal, Registration, ReportedEnd, ReportedRun, Request,
+        RequestId, Response,
     },
 };
 use lilacpass_schema::v1;
@@ -22,7 +22,7 @@
     for (name, rack) in [("w-0", "r-1"), ("w-1", "r-2"), ("w-2", "r-2")] {
         let entry =
             Registration { labels: vec!["a".to_owned(), rack.to_owned()], ..registration(name) };
-        single.tell(Event::WorkerListed(entry));
+        single.tell(Event::WorkerRegistered(entry));
         single.looked(name, &[], &[]);
     }
     let effects = single.submit(1, &[v1::WorkStep { one_rack: true, ..step(3, 4_000, 1_000) }]);
@@ -46,7 +46,7 @@
             now_ms: 1_000,
         };
         for name in workers {
-            single.leader.handle(Event::WorkerListed(registration(name)), single.now());
+            single.leader.handle(Event::WorkerRegistered(registration(name)), single.now());
             single.looked(name, &[], &[]);
         }
         single
@@ -69,10 +69,15 @@
         effects
     }
 
-    fn looked(&mut self, name: &str, running: &[(TaskName, u32)], ends: &[EndRow]) -> Vec<Effect> {
+    fn looked(
+        &mut self,
+        name: &str,
+        running: &[(TaskName, u32)],
+        ends: &[ReportedEnd],
+    ) -> Vec<Effect> {
         let running = running
             .iter()
-            .map(|(task, run)| RunningRow {
+            .map(|(task, run)| ReportedRun {
                 task: *task,
                 run: *run,
                 checkpoint: String::new(),
@@ -80,23 +85,28 @@
                 gauge: 0,
             })
             .collect();
-        let answer =
-            LookAnswer { clock_ms: self.now_ms, running, ends: ends.to_vec(), remaining_ms: None };
+        let answer = PollResponse {
+            clock_ms: self.now_ms,
+            running,
+            ends: ends.to_vec(),
+            remaining_ms: None,
+        };
         let worker = WorkerName::from(name);
         let sent_ms = self.now_ms;
-        self.tell(Event::Looked { worker, sent_ms, extra: false, result: Ok(answer) })
+        self.tell(Event::Polled { worker, sent_ms, extra: false, result: Ok(answer) })
     }
 
     fn look_lost(&mut self, name: &str) -> Vec<Effect> {
         let worker = WorkerName::from(name);
         let sent_ms = self.now_ms;
         let result = Err(CallError::Failed(Verdict::MayHaveRun));
-        self.tell(Event::Looked { worker, sent_ms, extra: false, result })
+        self.tell(Event::Polled { worker, sent_ms, extra: false, result })
     }
 
     fn submit(&mut self, key: u64, steps: &[v1::WorkStep]) -> Vec<Effect> {
-        let ask = Ask::Submit { job: JobKey(key), plan: plan(steps), queue: queue("quick", 0) };
-        self.tell(Event::Asked { token: Token(key), ask })
+        let request =
+            Request::Submit { job: JobKey(key), plan: plan(steps), queue: queue("quick", 0) };
+        self.tell(Event::Request { request_id: RequestId(key), request })
     }
 }
 
@@ -184,7 +194,7 @@
         }
         failed += 1;
         let end = lilacpass_jobs::End { run, how: How::Failed, checkpoint: String::new() };
-        ends.push(EndRow { number: ends.len() as u64 + 1, task, end });
+        ends.push(ReportedEnd { number: ends.len() as u64 + 1, task, end });
         single.looked(worker.as_str(), &[], &ends);
     }
     let effects = single.submit(9, &[step(4, 100, 1_000)]);
@@ -204,7 +214,7 @@
         single.tell(Event::Started { worker: worker.clone(), task, run, result: Ok(()) });
         if worker.as_str() == WORKER {
             let end = lilacpass_jobs::End { run, how: How::Done, checkpoint: String::new() };
-            ends.push(EndRow { number: 1, task, end });
+            ends.push(ReportedEnd { number: 1, task, end });
         }
     }
     single.looked(WORKER, &[], &ends);
@@ -214,7 +224,7 @@
         assert_eq!(worker.as_str(), WORKER, "no other has room");
         single.tell(Event::Started { worker, task, run, result: Ok(()) });
         let end = lilacpass_jobs::End { run, how: How::Failed, checkpoint: String::new() };
-        ends.push(EndRow { number: ends.len() as u64 + 1, task, end });
+        ends.push(ReportedEnd { number: ends.len() as u64 + 1, task, end });
         let effects = single.looked(WORKER, &[], &ends);
         if key == 2 {
             assert!(starts(&effects).is_empty(), "two jobs failed there, and it rests");
@@ -223,9 +233,12 @@
             for (worker, task, run) in starts(&effects) {
                 single.tell(Event::Started { worker, task, run, result: Ok(()) });
                 let end = lilacpass_jobs::End { run, how: How::Stopped, checkpoint: String::new() };
-                ends.push(EndRow { number: ends.len() as u64 + 1, task, end });
+                ends.push(ReportedEnd { number: ends.len() as u64 + 1, task, end });
             }
-            single.tell(Event::Asked { token: Token(50), ask: Ask::Cancel(JobKey(1)) });
+            single.tell(Event::Request {
+                request_id: RequestId(50),
+                request: Request::Cancel(JobKey(1)),
+            });
             single.looked(WORKER, &[], &ends);
         }
     }
@@ -241,16 +254,17 @@
     single.tell(Event::Started { worker: worker.clone(), task, run, result: Ok(()) });
     single.now_ms += 10_000;
     let sent_ms = single.now_ms;
-    single.tell(Event::Confirmed { sent_ms });
+    single.tell(Event::LeadershipConfirmed { sent_ms });
     let effects = single.tell(Event::Tick);
     let again = starts(&effects);
     assert_eq!(again.len(), 1, "it starts elsewhere");
     let end = lilacpass_jobs::End { run, how: How::Done, checkpoint: String::new() };
-    let effects = single.looked(worker.as_str(), &[], &[EndRow { number: 1, task, end }]);
+    let effects = single.looked(worker.as_str(), &[], &[ReportedEnd { number: 1, task, end }]);
     let stopped = effects.iter().any(|effect| matches!(effect, Effect::Stop { run: 2, .. }));
     assert!(stopped, "the second run is stopped");
-    let effects = single.tell(Event::Asked { token: Token(9), ask: Ask::State(JobKey(1)) });
-    let completed = Answer::State(lilacpass_lead::event::JobState::Completed);
+    let effects = single
+        .tell(Event::Request { request_id: RequestId(9), request: Request::State(JobKey(1)) });
+    let completed = Response::State(lilacpass_lead::event::JobState::Completed);
     assert!(replies(&effects).contains(&completed), "the first counts");
 }
 
@@ -259,8 +273,9 @@
 fn a_job_is_stored_before_its_caller_is_told() {
     let mut leader = Leader::new(Options::default(), Vec::new(), Now::default());
     let now = Now { steady_ms: 10, unix_ms: 10 };
-    let ask = Ask::Submit { job: JobKey(1), plan: plan(&[step(1, 1, 1)]), queue: queue("q", 0) };
-    leader.handle(Event::Asked { token: Token(1), ask }, now);
+    let request =
+        Request::Submit { job: JobKey(1), plan: plan(&[step(1, 1, 1)]), queue: queue("q", 0) };
+    leader.handle(Event::Request { request_id: RequestId(1), request }, now);
     let effects = leader.finish(now);
     let is_reply = |effect: &Effect| matches!(effect, Effect::Reply { .. });
     assert!(!effects.iter().any(is_reply), "not told yet");
@@ -283,20 +298,22 @@
 fn an_unsure_leader_does_not_say_that_a_job_is_unknown() {
     let mut single = Single::new(&[WORKER]);
     single.now_ms += 5_000;
-    let effects = single.tell(Event::Asked { token: Token(1), ask: Ask::State(JobKey(77)) });
-    let unknown = |answer: &Answer| matches!(answer, Answer::UnknownJob);
+    let effects = single
+        .tell(Event::Request { request_id: RequestId(1), request: Request::State(JobKey(77)) });
+    let unknown = |answer: &Response| matches!(answer, Response::UnknownJob);
     assert!(!replies(&effects).iter().any(unknown));
     let sent_ms = single.now_ms;
-    single.tell(Event::Confirmed { sent_ms });
-    let effects = single.tell(Event::Asked { token: Token(2), ask: Ask::State(JobKey(77)) });
+    single.tell(Event::LeadershipConfirmed { sent_ms });
+    let effects = single
+        .tell(Event::Request { request_id: RequestId(2), request: Request::State(JobKey(77)) });
     assert!(replies(&effects).iter().any(unknown));
 }
 
-fn replies(effects: &[Effect]) -> Vec<Answer> {
+fn replies(effects: &[Effect]) -> Vec<Response> {
     effects
         .iter()
         .filter_map(|effect| match effect {
-            Effect::Reply { answer, .. } => Some(answer.clone()),
+            Effect::Reply { response, .. } => Some(response.clone()),
             _ => None,
         })
         .collect()
@@ -340,7 +357,7 @@
     let mut single = Single::new(&workers);
     let waits = |effects: &[Effect]| -> Vec<u64> {
         let wait = |effect: &Effect| match effect {
-            Effect::Look { wait_ms, answer_ms, .. } => Some(wait_ms + answer_ms),
+            Effect::Poll { wait_ms, answer_ms, .. } => Some(wait_ms + answer_ms),
             _ => None,
         };
         effects.iter().filter_map(wait).collect()
@@ -363,7 +380,7 @@
     let mut single = Single::new(&workers);
     let longest = |effects: &[Effect]| {
         let wait = |effect: &Effect| match effect {
-            Effect::Look { wait_ms, .. } => Some(*wait_ms),
+            Effect::Poll { wait_ms, .. } => Some(*wait_ms),
             _ => None,
         };
         effects.iter().filter_map(wait).max()
@@ -389,13 +406,13 @@
     single.tell(Event::Started { worker: worker.clone(), task, run, result: Ok(()) });
     let other = if worker.as_str() == "w-0" { "w-1" } else { "w-0" };
     let drains = Registration { draining: true, ..registration(worker.as_str()) };
-    single.tell(Event::WorkerListed(drains));
+    single.tell(Event::WorkerRegistered(drains));
     single.now_ms += 5_000;
     single.looked(other, &[], &[]);
     single.looked(worker.as_str(), &[(task, run)], &[]);
-    single.tell(Event::Confirmed { sent_ms: single.now_ms });
+    single.tell(Event::LeadershipConfirmed { sent_ms: single.now_ms });
     single.looked(worker.as_str(), &[(task, run)], &[]);
-    single.tell(Event::WorkerUnlisted(worker.clone()));
+    single.tell(Event::WorkerUnregistered(worker.clone()));
     let effects = single.look_lost(worker.as_str());
     assert!(starts(&effects).is_empty(), "it may run on");
     single.now_ms += 1_900;
@@ -415,21 +432,26 @@
     let mut single = Single::new(&[WORKER]);
     let started = starts(&single.submit(1, &[step(2, 1_000, 500)]));
     let (first, second) = (started[0].1, started[1].1);
-    let end = |number, task| EndRow {
+    let end = |number, task| ReportedEnd {
         number,
         task,
         end: lilacpass_jobs::End { run: 1, how: How::Done, checkpoint: String::new() },
     };
-    let looked = |now_ms: u64, ends: Vec<EndRow>| Event::Looked {
+    let looked = |now_ms: u64, ends: Vec<ReportedEnd>| Event::Polled {
         worker: WorkerName::from(WORKER),
         sent_ms: now_ms,
         extra: false,
-        result: Ok(LookAnswer { clock_ms: now_ms, running: Vec::new(), ends, remaining_ms: None }),
+        result: Ok(PollResponse {
+            clock_ms: now_ms,
+            running: Vec::new(),
+            ends,
+            remaining_ms: None,
+        }),
     };
     // From here on no append is answered.
     single.leader.handle(looked(single.now_ms, vec![end(1, first)]), single.now());
     single.leader.finish(single.now());
-    let is_look = |effect: &Effect| matches!(effect, Effect::Look { extra: false, .. });
+    let is_look = |effect: &Effect| matches!(effect, Effect::Poll { extra: false, .. });
     let mut look_after_ms = None;
     for after_ms in (50..=500).step_by(50) {
         single.now_ms += 50;
--- a/lilacpass-lead/tests/capacity.rs
+++ b/lilacpass-lead/tests/capacity.rs
@@ -4,7 +4,7 @@
 
 use lilacpass_core::Resources;
 use lilacpass_jobs::{JobKey, Outcome};
-use lilacpass_lead::event::Answer;
+use lilacpass_lead::event::Response;
 use lilacpass_schema::v1;
 use world::{World, plan, queue, step};
 
@@ -46,9 +46,9 @@
     let mut world = World::new(3, 2, WHOLE);
     (0..2).for_each(|at| world.set_capacity(at, NOTHING));
     world.run(3_000);
-    let token = world.submit(1, plan(&[step(2, 2_000, 500)]), queue("quick", 0));
+    let request_id = world.submit(1, plan(&[step(2, 2_000, 500)]), queue("quick", 0));
     world.run(3_000);
-    assert_eq!(world.answer(token), Some(&Answer::Done), "it is accepted");
+    assert_eq!(world.answer(request_id), Some(&Response::Done), "it is accepted");
     (0..2).for_each(|at| world.set_capacity(at, WHOLE));
     world.run(8_000);
     assert_eq!(outcome(&world, 1), Some(Outcome::Completed));
--- a/lilacpass-lead/tests/fuzz.rs
+++ b/lilacpass-lead/tests/fuzz.rs
@@ -7,7 +7,7 @@
     size::{Accelerators, Mebibytes, Millicores, Slots},
 };
 use lilacpass_jobs::{JobKey, StepName};
-use lilacpass_lead::event::Ask;
+use lilacpass_lead::event::Request;
 use lilacpass_schema::v1;
 use world::{World, plan, queue, step};
 
@@ -49,7 +49,7 @@
             }
             4 => {
                 if let Some((key, _)) = jobs.get(usize::from(who) % jobs.len().max(1)) {
-                    world.ask(Ask::Cancel(JobKey(*key)));
+                    world.ask(Request::Cancel(JobKey(*key)));
                 }
             }
             5 => {
@@ -101,10 +101,10 @@
 /// Asks for what the small cell judges the answers of.
 fn ask_of_jobs(world: &mut World, jobs: u64) {
     for queue in ["quick", "advised"] {
-        world.ask(Ask::Pending { queue: queue.to_owned() });
+        world.ask(Request::Pending { queue: queue.to_owned() });
     }
     for key in 1..=jobs {
-        world.ask(Ask::State(JobKey(key)));
+        world.ask(Request::State(JobKey(key)));
     }
 }
 
--- a/lilacpass-lead/tests/overload.rs
+++ b/lilacpass-lead/tests/overload.rs
@@ -6,7 +6,7 @@
 
 use lilacpass_core::Resources;
 use lilacpass_jobs::{JobKey, Outcome};
-use lilacpass_lead::event::{Answer, Ask, Token};
+use lilacpass_lead::event::{Request, RequestId, Response};
 use world::{World, cost::Costs, plan, queue, step};
 
 /// With these a job of the plays takes the leader about 10 ms: one try, two starts, two ends. Looks at 60 idle
@@ -47,7 +47,7 @@
 /// What came of a hand-in.
 struct HandIn {
     key: u64,
-    token: Token,
+    request_id: RequestId,
     sent_ms: u64,
 }
 
@@ -60,8 +60,9 @@
         let key = 1 + number;
         let job = plan(&[step(2, 1_000, TASK_MS)]);
         let sent_ms = world.now_ms;
-        let token = world.submit(key, job, queue(&format!("quick-{}", key % 3), (key % 3) as u32));
-        sent.push(HandIn { key, token, sent_ms });
+        let request_id =
+            world.submit(key, job, queue(&format!("quick-{}", key % 3), (key % 3) as u32));
+        sent.push(HandIn { key, request_id, sent_ms });
         world.run(next_ms - due_ms);
     }
     sent
@@ -75,22 +76,22 @@
     let mut world = cell();
     let sent = hand_in(&mut world, CAN_DECIDE * times);
     world.run(DONE_WITHIN_MS);
-    let answers: BTreeMap<u64, Answer> =
-        world.answers.iter().map(|(token, answer)| (token.0, answer.clone())).collect();
+    let answers: BTreeMap<u64, Response> =
+        world.answers.iter().map(|(request_id, answer)| (request_id.0, answer.clone())).collect();
     judge_runs(&world);
     let mut done = 0;
     for hand_in in &sent {
         let key = hand_in.key;
-        let answer = answers.get(&hand_in.token.0);
-        let answer_ms = world.answered_ms.get(&hand_in.token.0).map(|ms| ms - hand_in.sent_ms);
+        let answer = answers.get(&hand_in.request_id.0);
+        let answer_ms = world.answered_ms.get(&hand_in.request_id.0).map(|ms| ms - hand_in.sent_ms);
         let job = world.store.job(JobKey(key));
         match answer {
-            Some(Answer::Refused { retry_after_ms, .. }) => {
+            Some(Response::Refused { retry_after_ms, .. }) => {
                 assert!(job.is_none(), "job {key} was refused and is stored");
                 assert!(answer_ms.is_some_and(|ms| ms < REFUSED_WITHIN_MS), "{answer_ms:?}");
                 assert!((1_000..=3_000).contains(retry_after_ms), "{retry_after_ms}");
             }
-            Some(Answer::Done) => {
+            Some(Response::Done) => {
                 assert!(answer_ms.is_some_and(|ms| ms < PATIENCE_MS), "job {key}: {answer_ms:?}");
                 let job = job.expect("an accepted job is stored");
                 assert_eq!(job.outcome, Outcome::Completed, "job {key} was accepted");
@@ -223,13 +224,13 @@
     world.submit(100_000, plan(&[long]), queue("long", 1));
     world.run(1_000);
     hand_in(&mut world, CAN_DECIDE * 20);
-    let state = world.ask(Ask::State(JobKey(100_000)));
-    let cancel = world.ask(Ask::Cancel(JobKey(100_000)));
+    let state = world.ask(Request::State(JobKey(100_000)));
+    let cancel = world.ask(Request::Cancel(JobKey(100_000)));
     let repeated = world.submit(100_000, plan(&[step(1, 1_000, 60_000)]), queue("long", 1));
     world.run(REFUSED_WITHIN_MS);
-    assert!(matches!(world.answer(state), Some(Answer::State(_))), "{:?}", world.answer(state));
-    assert_eq!(world.answer(cancel), Some(&Answer::Done));
-    assert_eq!(world.answer(repeated), Some(&Answer::Done), "it was accepted, and stays so");
+    assert!(matches!(world.answer(state), Some(Response::State(_))), "{:?}", world.answer(state));
+    assert_eq!(world.answer(cancel), Some(&Response::Done));
+    assert_eq!(world.answer(repeated), Some(&Response::Done), "it was accepted, and stays so");
     world.run(PATIENCE_MS);
     let outcome = world.store.job(JobKey(100_000)).map(|job| job.outcome);
     assert_eq!(outcome, Some(Outcome::Cancelled));
@@ -242,8 +243,8 @@
     let sent = hand_in(&mut world, CAN_DECIDE / 2);
     world.run(DONE_WITHIN_MS);
     judge_runs(&world);
-    for HandIn { key, token, .. } in sent {
-        assert_eq!(world.answer(token), Some(&Answer::Done), "job {key}");
+    for HandIn { key, request_id, .. } in sent {
+        assert_eq!(world.answer(request_id), Some(&Response::Done), "job {key}");
         let outcome = world.store.job(JobKey(key)).map(|job| job.outcome);
         assert_eq!(outcome, Some(Outcome::Completed), "job {key}");
     }
--- a/lilacpass-lead/tests/pressure.rs
+++ b/lilacpass-lead/tests/pressure.rs
@@ -3,7 +3,7 @@
 use lilacpass_jobs::{JobKey, StepName};
 use lilacpass_lead::{
     Effect, Event, Leader, Now, Options,
-    event::{Answer, Ask, Token},
+    event::{Request, RequestId, Response},
     pressure::{Level, Pressure},
     rank::Rank,
     turn::Turn,
@@ -107,7 +107,10 @@
     let plan = v1::WorkPlan { payload: "do".to_owned(), steps: vec![step], ..Default::default() };
     let queue =
         v1::QueuePolicy { name: "q".to_owned(), service: "pool".to_owned(), ..Default::default() };
-    Event::Asked { token: Token(key), ask: Ask::Submit { job: JobKey(key), plan, queue } }
+    Event::Request {
+        request_id: RequestId(key),
+        request: Request::Submit { job: JobKey(key), plan, queue },
+    }
 }
 
 /// Hands in a rush of jobs in one batch, and returns how many were refused.
@@ -116,7 +119,7 @@
         leader.handle(submit(key), now);
     }
     let refused = leader.finish(now).into_iter().filter_map(|effect| match effect {
-        Effect::Reply { token, answer: Answer::Refused { .. } } => Some(token.0),
+        Effect::Reply { request_id, response: Response::Refused { .. } } => Some(request_id.0),
         _ => None,
     });
     refused.collect()
@@ -129,8 +132,9 @@
     assert!(refused.len() > 1_000 && refused.len() < RUSH as usize, "{}", refused.len());
     leader.handle(submit(0), at(20));
     let answers = leader.finish(at(20));
-    let is_refused =
-        |effect: &Effect| matches!(effect, Effect::Reply { answer: Answer::Refused { .. }, .. });
+    let is_refused = |effect: &Effect| {
+        matches!(effect, Effect::Reply { response: Response::Refused { .. }, .. })
+    };
     assert!(
         !answers.iter().any(is_refused),
         "a job that was taken is not refused when it comes again"
--- a/lilacpass-lead/tests/same_decisions.rs
+++ b/lilacpass-lead/tests/same_decisions.rs
@@ -5,7 +5,7 @@
 
 use lilacpass_core::Resources;
 use lilacpass_jobs::JobKey;
-use lilacpass_lead::event::Ask;
+use lilacpass_lead::event::Request;
 use lilacpass_schema::v1;
 use world::{Random, World, plan, queue, step};
 
@@ -33,7 +33,7 @@
         let worker = random.below(WORKERS as u64) as usize;
         match random.below(60) {
             0 => {
-                world.ask(Ask::Cancel(JobKey(random.below(key) + 1)));
+                world.ask(Request::Cancel(JobKey(random.below(key) + 1)));
             }
             1 => world.workers[worker].cut = !world.workers[worker].cut,
             2 => world.store.down = !world.store.down,
--- a/lilacpass-lead/tests/stories.rs
+++ b/lilacpass-lead/tests/stories.rs
@@ -6,7 +6,7 @@
 
 use lilacpass_core::Resources;
 use lilacpass_jobs::{JobKey, Outcome};
-use lilacpass_lead::event::Answer;
+use lilacpass_lead::event::Response;
 use lilacpass_schema::v1;
 use world::{World, plan, queue, step};
 
@@ -110,9 +110,9 @@
     let mut world = four_workers(7);
     world.run(200);
     world.store.down = true;
-    let token = world.submit(1, plan(&[step(1, 1_000, 100)]), queue("quick", 0));
+    let request_id = world.submit(1, plan(&[step(1, 1_000, 100)]), queue("quick", 0));
     world.run(1_500);
-    assert!(matches!(world.answer(token), Some(Answer::Refused { .. })), "refused");
+    assert!(matches!(world.answer(request_id), Some(Response::Refused { .. })), "refused");
     world.store.down = false;
     world.run(5_000);
     assert_eq!(outcome(&world, 1), None, "what was refused never runs");
--- a/lilacpass-lead/tests/waiting_jobs.rs
+++ b/lilacpass-lead/tests/waiting_jobs.rs
@@ -4,7 +4,7 @@
 
 use lilacpass_core::Resources;
 use lilacpass_jobs::JobKey;
-use lilacpass_lead::event::{Answer, Ask, JobState};
+use lilacpass_lead::event::{JobState, Request, Response};
 use world::{World, plan, queue, step};
 
 const QUEUE: &str = "checks";
@@ -17,18 +17,18 @@
     world.submit(key, plan(&[step(2, 1_000, 60_000)]), queue(QUEUE, 0));
 }
 
-fn ask(world: &mut World, ask: Ask) -> Answer {
-    let token = world.ask(ask);
+fn ask(world: &mut World, request: Request) -> Response {
+    let request_id = world.ask(request);
     world.run(20);
-    world.answer(token).cloned().expect("an answer within 20 ms")
+    world.answer(request_id).cloned().expect("an answer within 20 ms")
 }
 
-fn count(world: &mut World) -> Answer {
-    ask(world, Ask::Pending { queue: QUEUE.to_owned() })
+fn count(world: &mut World) -> Response {
+    ask(world, Request::Pending { queue: QUEUE.to_owned() })
 }
 
-fn state(world: &mut World, key: u64) -> Answer {
-    ask(world, Ask::State(JobKey(key)))
+fn state(world: &mut World, key: u64) -> Response {
+    ask(world, Request::State(JobKey(key)))
 }
 
 fn set_cut(world: &mut World, cut: bool) {
@@ -50,8 +50,8 @@
     world.take_over();
     world.run(3_000);
     assert!(world.workers.iter().all(|worker| worker.runs.is_empty()), "nothing ever ran");
-    assert_eq!(count(&mut world), Answer::Pending(4));
-    assert_eq!(state(&mut world, 1), Answer::State(JobState::Queued));
+    assert_eq!(count(&mut world), Response::Pending(4));
+    assert_eq!(state(&mut world, 1), Response::State(JobState::Queued));
 }
 
 /// The same without a change of leader: the orders get no answer, and once the runs are given up there is
@@ -64,8 +64,8 @@
     submit(&mut world, 1);
     for _ in 0..6 {
         world.run(2_000);
-        assert_eq!(count(&mut world), Answer::Pending(1));
-        assert_eq!(state(&mut world, 1), Answer::State(JobState::Queued));
+        assert_eq!(count(&mut world), Response::Pending(1));
+        assert_eq!(state(&mut world, 1), Response::State(JobState::Queued));
     }
 }
 
@@ -79,16 +79,16 @@
     world.run(500);
     submit(&mut world, 1);
     world.run(300);
-    assert_eq!(count(&mut world), Answer::Pending(1), "no worker takes starts");
+    assert_eq!(count(&mut world), Response::Pending(1), "no worker takes starts");
     world.store.down = true;
     let number = world.workers.len() - 1;
     world.replace_worker(number);
     world.run(600);
-    assert_eq!(count(&mut world), Answer::Pending(1));
-    assert_eq!(state(&mut world, 1), Answer::State(JobState::Queued));
+    assert_eq!(count(&mut world), Response::Pending(1));
+    assert_eq!(state(&mut world, 1), Response::State(JobState::Queued));
     world.store.down = false;
     world.run(500);
-    assert_eq!(count(&mut world), Answer::Pending(0));
+    assert_eq!(count(&mut world), Response::Pending(0));
 }
 
 /// A job that has run for most of a second is said to wait: the answer to its start was passed over, and the look
@@ -102,7 +102,7 @@
         world.run(1);
     }
     world.run(5);
-    assert_eq!(state(&mut world, 1), Answer::State(JobState::Running));
+    assert_eq!(state(&mut world, 1), Response::State(JobState::Running));
 }
 
 /// What runs must not be shown as waiting again: a worker began it, and the successor of the leader that
@@ -112,14 +112,14 @@
     let mut world = four_workers();
     submit(&mut world, 1);
     world.run(300);
-    assert_eq!(state(&mut world, 1), Answer::State(JobState::Running));
+    assert_eq!(state(&mut world, 1), Response::State(JobState::Running));
     submit(&mut world, 2);
     world.run(300);
     set_cut(&mut world, true);
     world.current().alive = false;
     world.take_over();
     world.run(1_000);
-    assert_eq!(state(&mut world, 1), Answer::State(JobState::Running));
+    assert_eq!(state(&mut world, 1), Response::State(JobState::Running));
 }
 
 /// The same where nothing was stored after the worker had begun: a look at the worker tells.
@@ -131,8 +131,8 @@
     world.current().alive = false;
     world.take_over();
     world.run(300);
-    assert_eq!(state(&mut world, 1), Answer::State(JobState::Running));
-    assert_eq!(count(&mut world), Answer::Pending(0));
+    assert_eq!(state(&mut world, 1), Response::State(JobState::Running));
+    assert_eq!(count(&mut world), Response::Pending(0));
 }
 
 /// And where the run ended before the successor looked: the end that the worker lists tells.
@@ -150,7 +150,7 @@
     world.take_over();
     world.run(300);
     assert_eq!(world.workers.iter().map(|worker| worker.runs.len()).sum::<usize>(), 0);
-    assert_eq!(state(&mut world, 1), Answer::State(JobState::Running));
+    assert_eq!(state(&mut world, 1), Response::State(JobState::Running));
 }
 
 /// Calls of the store are priced and bounded: what workers have begun is stored with the next change, and costs
@@ -165,7 +165,7 @@
     }
     let appends = world.store.appends;
     world.run(2_000);
-    assert_eq!(state(&mut world, 1), Answer::State(JobState::Running));
+    assert_eq!(state(&mut world, 1), Response::State(JobState::Running));
     assert_eq!(world.store.appends, appends);
     submit(&mut world, 2);
     world.run(300);
--- a/lilacpass-lead/tests/world/answers.rs
+++ b/lilacpass-lead/tests/world/answers.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lilacpass_jobs::{JobKey, Outcome};
-use lilacpass_lead::event::{Answer, Ask, JobState, Token};
+use lilacpass_lead::event::{JobState, Request, RequestId, Response};
 
 use crate::world::store::Store;
 
@@ -12,7 +12,7 @@
 pub struct Asked {
     /// Jobs of which a worker has begun a task.
     pub begun: BTreeSet<JobKey>,
-    asks: BTreeMap<u64, Ask>,
+    asks: BTreeMap<u64, Request>,
     /// Jobs whose callers were told that they are accepted, with their queues.
     accepted: BTreeMap<JobKey, String>,
     /// Jobs that must be counted if they still wait, by the request for the count.
@@ -22,33 +22,33 @@
 
 impl Asked {
     /// Notes a request that goes to the leader.
-    pub fn note(&mut self, token: Token, ask: &Ask) {
-        if let Ask::Cancel(job) = ask {
+    pub fn note(&mut self, request_id: RequestId, request: &Request) {
+        if let Request::Cancel(job) = request {
             self.cancelled.insert(*job);
         }
-        if let Ask::Pending { queue } = ask {
+        if let Request::Pending { queue } = request {
             let of_queue = self.accepted.iter().filter(|(_, of)| *of == queue);
-            self.owed.insert(token.0, of_queue.map(|(job, _)| *job).collect());
+            self.owed.insert(request_id.0, of_queue.map(|(job, _)| *job).collect());
         }
-        self.asks.insert(token.0, ask.clone());
+        self.asks.insert(request_id.0, request.clone());
     }
 
     /// What must hold for an answer of the leader in force.
-    pub fn judge(&mut self, token: Token, answer: &Answer, store: &Store) {
-        match (&self.asks[&token.0], answer) {
-            (Ask::Submit { job, queue, .. }, Answer::Done) => {
+    pub fn judge(&mut self, request_id: RequestId, answer: &Response, store: &Store) {
+        match (&self.asks[&request_id.0], answer) {
+            (Request::Submit { job, queue, .. }, Response::Done) => {
                 self.accepted.insert(*job, queue.name.clone());
             }
-            (Ask::State(job), Answer::State(JobState::Running)) => {
+            (Request::State(job), Response::State(JobState::Running)) => {
                 assert!(self.begun.contains(job), "{job} is said to run; no worker has begun it");
             }
-            (Ask::Pending { queue }, Answer::Pending(told)) => {
+            (Request::Pending { queue }, Response::Pending(told)) => {
                 let waits = |job: &&JobKey| {
                     !self.begun.contains(job)
                         && !self.cancelled.contains(job)
                         && store.job(**job).is_some_and(|job| job.outcome == Outcome::Open)
                 };
-                let waiting: Vec<&JobKey> = self.owed[&token.0].iter().filter(waits).collect();
+                let waiting: Vec<&JobKey> = self.owed[&request_id.0].iter().filter(waits).collect();
                 assert!(
                     *told >= waiting.len() as u64,
                     "{told} jobs of {queue} are said to wait; {waiting:?} do"
--- a/lilacpass-lead/tests/world/cost.rs
+++ b/lilacpass-lead/tests/world/cost.rs
@@ -5,7 +5,7 @@
 
 use std::mem;
 
-use lilacpass_lead::{Effect, Event, event::Answer, leader::Work};
+use lilacpass_lead::{Effect, Event, event::Response, leader::Work};
 
 use super::{Action, Member, TICK_MS, World};
 
@@ -37,8 +37,8 @@
     /// What it takes to take in an event.
     pub fn of_event(&self, event: &Event) -> u64 {
         match event {
-            Event::Looked { .. } => self.look_us / 2,
-            Event::Asked { .. } => self.ask_us,
+            Event::Polled { .. } => self.look_us / 2,
+            Event::Request { .. } => self.ask_us,
             _ => self.event_us,
         }
     }
@@ -46,8 +46,8 @@
     /// What it takes to carry out an effect.
     pub fn of_effect(&self, effect: &Effect) -> u64 {
         match effect {
-            Effect::Look { .. } => self.look_us / 2,
-            Effect::Reply { answer: Answer::Refused { .. }, .. } => 0,
+            Effect::Poll { .. } => self.look_us / 2,
+            Effect::Reply { response: Response::Refused { .. }, .. } => 0,
             _ => self.event_us,
         }
     }
@@ -102,10 +102,10 @@
 
     /// A look that waited is answered with what there is now.
     pub(super) fn look_ends(&mut self, member: usize, at: usize, effect: &Effect, sent_ms: u64) {
-        let Effect::Look { worker, forget_upto, extra, .. } = effect else { return };
+        let Effect::Poll { worker, forget_up_to, extra, .. } = effect else { return };
         let epoch = self.members[member].epoch;
-        let result = self.workers[at].look(epoch, None, *forget_upto);
-        let event = Event::Looked { worker: worker.clone(), sent_ms, extra: *extra, result };
+        let result = self.workers[at].look(epoch, None, *forget_up_to);
+        let event = Event::Polled { worker: worker.clone(), sent_ms, extra: *extra, result };
         self.plan(1, Action::Tell { member, event });
     }
 }
--- a/lilacpass-lead/tests/world/mod.rs
+++ b/lilacpass-lead/tests/world/mod.rs
@@ -22,7 +22,9 @@
 use lilacpass_jobs::{Job, JobKey, StepName, TaskName, WorkerName, record};
 use lilacpass_lead::{
     Effect, Event, Leader, Now, Options,
-    event::{Advice, Answer, Ask, CallError, Lane, Record, Registration, TicketRow, Token},
+    event::{
+        Advice, CallError, Lane, Record, Registration, Request, RequestId, Response, WorkerTicket,
+    },
 };
 use lilacpass_schema::v1;
 
@@ -100,7 +102,7 @@
     pub store: Store,
     pub workers: Vec<Worker>,
     pub members: Vec<Member>,
-    pub answers: Vec<(Token, Answer)>,
+    pub answers: Vec<(RequestId, Response)>,
     /// What was asked, and what workers have begun.
     pub asked: Asked,
     /// Tasks that crash their workers.
@@ -117,7 +119,7 @@
     /// Of all that leaders asked for, and when.
     effects: DefaultHasher,
     actions: EventQueue<Action>,
-    next_token: u64,
+    next_request_id: u64,
 }
 
 impl World {
@@ -141,7 +143,7 @@
             costs: None,
             effects: DefaultHasher::new(),
             actions: EventQueue::default(),
-            next_token: 0,
+            next_request_id: 0,
         };
         world.take_over();
         world
@@ -182,7 +184,7 @@
         let entries: Vec<Registration> =
             self.workers.iter().filter(is_listed).map(Worker::registration).collect();
         for entry in entries {
-            self.tell(member, Event::WorkerListed(entry));
+            self.tell(member, Event::WorkerRegistered(entry));
         }
     }
 
@@ -196,13 +198,13 @@
         }
         let entry = worker.registration();
         let member = self.members.len() - 1;
-        self.plan(HEARTBEAT_MS, Action::Tell { member, event: Event::WorkerListed(entry) });
+        self.plan(HEARTBEAT_MS, Action::Tell { member, event: Event::WorkerRegistered(entry) });
     }
 
     /// The store drops the registration of a worker that it has not heard of.
     pub fn unlist(&mut self, at: usize) {
         let member = self.members.len() - 1;
-        self.tell(member, Event::WorkerUnlisted(self.workers[at].name.clone()));
+        self.tell(member, Event::WorkerUnregistered(self.workers[at].name.clone()));
     }
 
     /// Sets how many instances can call for advice.
@@ -227,21 +229,21 @@
     }
 
     /// Asks the leader, and returns the token of the answer.
-    pub fn ask(&mut self, ask: Ask) -> Token {
-        let token = Token(self.next_token);
-        self.next_token += 1;
+    pub fn ask(&mut self, request: Request) -> RequestId {
+        let request_id = RequestId(self.next_request_id);
+        self.next_request_id += 1;
         let member = self.members.len() - 1;
-        self.asked.note(token, &ask);
-        self.tell(member, Event::Asked { token, ask });
-        token
+        self.asked.note(request_id, &request);
+        self.tell(member, Event::Request { request_id, request });
+        request_id
     }
 
-    pub fn submit(&mut self, key: u64, plan: v1::WorkPlan, queue: v1::QueuePolicy) -> Token {
-        self.ask(Ask::Submit { job: JobKey(key), plan, queue })
+    pub fn submit(&mut self, key: u64, plan: v1::WorkPlan, queue: v1::QueuePolicy) -> RequestId {
+        self.ask(Request::Submit { job: JobKey(key), plan, queue })
     }
 
-    pub fn answer(&self, token: Token) -> Option<&Answer> {
-        self.answers.iter().find(|(t, _)| *t == token).map(|(_, answer)| answer)
+    pub fn answer(&self, request_id: RequestId) -> Option<&Response> {
+        self.answers.iter().find(|(t, _)| *t == request_id).map(|(_, answer)| answer)
     }
 
     /// Lets time pass.
@@ -276,7 +278,7 @@
                         self.plan(TICK_MS, Action::Tick { member });
                     }
                     self.tell(member, Event::Tick);
-                    self.tell(member, Event::WorkersRead);
+                    self.tell(member, Event::RegistrationsRead);
                 }
             }
             Action::Renew { member } => {
@@ -287,7 +289,7 @@
                 let sent_ms = self.now_ms;
                 let in_force = self.members[member].epoch == self.store.epoch;
                 if in_force && !self.store.down && !self.is_paused(member) {
-                    self.tell(member, Event::Confirmed { sent_ms });
+                    self.tell(member, Event::LeadershipConfirmed { sent_ms });
                 }
             }
             Action::Arrive { member, effect, answered } => self.arrive(member, effect, answered),
@@ -334,7 +336,7 @@
     fn send(&mut self, member: usize, effect: Effect, after_ms: u64) {
         let delay_ms = 1 + self.random.below(4) + after_ms;
         let is_order =
-            matches!(effect, Effect::Start { .. } | Effect::Stop { .. } | Effect::Look { .. });
+            matches!(effect, Effect::Start { .. } | Effect::Stop { .. } | Effect::Poll { .. });
         if is_order && self.random.percent(self.lose_percent) {
             // No answer; perhaps carried out, perhaps late.
             self.fail(member, &effect);
@@ -363,7 +365,7 @@
             Effect::Stop { worker, task, run, .. } => {
                 Event::Stopped { worker: worker.clone(), task: *task, run: *run, result }
             }
-            Effect::Look { worker, extra, .. } => Event::Looked {
+            Effect::Poll { worker, extra, .. } => Event::Polled {
                 worker: worker.clone(),
                 sent_ms: self.now_ms,
                 extra: *extra,
@@ -375,23 +377,23 @@
 
     fn arrive(&mut self, member: usize, effect: Effect, answered: bool) {
         match effect {
-            Effect::Reply { token, answer } => {
+            Effect::Reply { request_id, response } => {
                 if member + 1 == self.members.len() {
-                    self.asked.judge(token, &answer, &self.store);
+                    self.asked.judge(request_id, &response, &self.store);
                 }
-                self.answered_ms.insert(token.0, self.now_ms);
-                self.answers.push((token, answer));
+                self.answered_ms.insert(request_id.0, self.now_ms);
+                self.answers.push((request_id, response));
             }
             Effect::Append(records) => self.append(member, &records),
-            Effect::Advise { lane, step, workers, expected_ms } => {
+            Effect::RequestAdvice { lane, step, workers, expected_ms } => {
                 self.calls_for_advice.push((step, workers.len()));
                 let good = workers
                     .iter()
                     .filter(|worker| is_good(worker))
-                    .map(|worker| TicketRow { worker: worker.clone(), ticket: "t".to_owned() })
+                    .map(|worker| WorkerTicket { worker: worker.clone(), ticket: "t".to_owned() })
                     .collect();
                 let advice = Some(Advice { good, valid_ms: 2_500 });
-                let event = Event::Advised { lane, step, asked: workers, advice };
+                let event = Event::AdviceReceived { lane, step, asked: workers, advice };
                 self.plan(expected_ms.max(LEAST_ADVICE_MS), Action::Tell { member, event });
             }
             Effect::Deposed => self.members[member].alive = false,
@@ -417,7 +419,7 @@
         let (name, address) = match effect {
             Effect::Start { worker, address, .. }
             | Effect::Stop { worker, address, .. }
-            | Effect::Look { worker, address, .. } => (worker.clone(), address.clone()),
+            | Effect::Poll { worker, address, .. } => (worker.clone(), address.clone()),
             _ => return,
         };
         let at = self.workers.iter().position(|w| w.alive && w.address == address);
@@ -430,7 +432,7 @@
         };
         if self.workers[at].name != name {
             let event = match effect {
-                Effect::Look { extra, .. } => Some(Event::Looked {
+                Effect::Poll { extra, .. } => Some(Event::Polled {
                     worker: name,
                     sent_ms: self.now_ms,
                     extra: *extra,
@@ -443,8 +445,8 @@
         let epoch = self.members[member].epoch;
         let now_ms = self.now_ms;
         let event = match effect {
-            Effect::Look { worker, lease_until_ms, forget_upto, wait_ms, extra, .. } => {
-                let result = self.workers[at].look(epoch, *lease_until_ms, *forget_upto);
+            Effect::Poll { worker, lease_until_ms, forget_up_to, wait_ms, extra, .. } => {
+                let result = self.workers[at].look(epoch, *lease_until_ms, *forget_up_to);
                 if self.costs.is_some() && result.is_ok() {
                     let wait_ms = self.workers[at].next_end_ms(*wait_ms, now_ms);
                     let effect = effect.clone();
@@ -453,7 +455,7 @@
                 }
                 // A waiting look is answered when something ends; here, after part of the wait.
                 let wait_ms = (*wait_ms).min(100);
-                let event = Event::Looked {
+                let event = Event::Polled {
                     worker: worker.clone(),
                     sent_ms: now_ms,
                     extra: *extra,
--- a/lilacpass-lead/tests/world/worker.rs
+++ b/lilacpass-lead/tests/world/worker.rs
@@ -4,7 +4,9 @@
 
 use lilacpass_core::Resources;
 use lilacpass_jobs::{End, How, TaskName, WorkerName};
-use lilacpass_lead::event::{CallError, EndRow, LookAnswer, Refusal, Registration, RunningRow};
+use lilacpass_lead::event::{
+    CallError, PollResponse, Refusal, Registration, ReportedEnd, ReportedRun,
+};
 
 /// How long a stop takes.
 const STOP_MS: u64 = 100;
@@ -56,7 +58,7 @@
     pub noted_done: BTreeSet<TaskName>,
     epoch: u64,
     lease_until_ms: u64,
-    ends: Vec<EndRow>,
+    ends: Vec<ReportedEnd>,
     next_end: u64,
     /// Ends up to this number were listed before a lease ran out: they may be noted too late, after
     /// the task was started elsewhere.
@@ -168,7 +170,7 @@
         }
         self.over.insert(task, run.run);
         let end = End { run: run.run, how, checkpoint: String::new() };
-        self.ends.push(EndRow { number: self.next_end, task, end });
+        self.ends.push(ReportedEnd { number: self.next_end, task, end });
         self.next_end += 1;
     }
 
@@ -184,26 +186,26 @@
         &mut self,
         epoch: u64,
         lease_until_ms: Option<u64>,
-        forget_upto: u64,
-    ) -> Result<LookAnswer, CallError> {
+        forget_up_to: u64,
+    ) -> Result<PollResponse, CallError> {
         self.fence(epoch)?;
         if let Some(until_ms) = lease_until_ms {
             self.lease_until_ms = self.lease_until_ms.max(until_ms);
         }
-        for row in self.ends.iter().filter(|row| row.number <= forget_upto) {
+        for row in self.ends.iter().filter(|row| row.number <= forget_up_to) {
             if row.end.how == How::Done && row.number > self.lapsed_upto {
                 self.noted_done.insert(row.task);
             }
         }
-        self.ends.retain(|row| row.number > forget_upto);
-        let running = self.runs.iter().map(|(task, run)| RunningRow {
+        self.ends.retain(|row| row.number > forget_up_to);
+        let running = self.runs.iter().map(|(task, run)| ReportedRun {
             task: *task,
             run: run.run,
             checkpoint: String::new(),
             percent: run.percent(self.clock_ms - CLOCK_AHEAD_MS),
             gauge: 0,
         });
-        Ok(LookAnswer {
+        Ok(PollResponse {
             clock_ms: self.clock_ms,
             running: running.collect(),
             ends: self.ends.clone(),
--- a/lilacpass-node/src/entry.rs
+++ b/lilacpass-node/src/entry.rs
@@ -6,7 +6,7 @@
 use lilacpass_core::Verdict;
 use lilacpass_lead::{
     asks::retry_after_ms,
-    event::{Answer, Ask},
+    event::{Request, Response},
 };
 use lilacpass_platform::{
     callers::{self, Wanted},
@@ -111,10 +111,10 @@
     };
     let queue = &request.queue.policy;
     let ask = match request.wanted {
-        Wanted::Submit(job, plan) => Ask::Submit { job, plan, queue: queue.clone() },
-        Wanted::State(job) => Ask::State(job),
-        Wanted::Cancel(job) => Ask::Cancel(job),
-        Wanted::Pending => Ask::Pending { queue: queue.name.clone() },
+        Wanted::Submit(job, plan) => Request::Submit { job, plan, queue: queue.clone() },
+        Wanted::State(job) => Request::State(job),
+        Wanted::Cancel(job) => Request::Cancel(job),
+        Wanted::Pending => Request::Pending { queue: queue.name.clone() },
     };
     let timeout_ms = match request.queue.timeout_ms {
         0 => request.deadline_ms,
@@ -123,10 +123,10 @@
     let timeout = Duration::from_millis(timeout_ms).saturating_sub(ANSWER_MARGIN);
     let answer = ask_leader(node, ask, timeout).await;
     match &answer {
-        Answer::Refused { reason, .. } => {
+        Response::Refused { reason, .. } => {
             log::info!(method:% = received.method, path = received.path.as_str(), reason; "request refused");
         }
-        Answer::Uncertain => {
+        Response::Uncertain => {
             log::info!(method:% = received.method, path = received.path.as_str(); "request uncertain");
         }
         _ => {}
@@ -136,7 +136,7 @@
 
 /// Asks the leader, and its successor if there is one, until there is an answer or time is up. All
 /// that callers ask is idempotent, so it may be asked twice.
-async fn ask_leader(node: &Node, ask: Ask, timeout: Duration) -> Answer {
+async fn ask_leader(node: &Node, ask: Request, timeout: Duration) -> Response {
     let start = Instant::now();
     let end = start + timeout;
     let refuse_at = start + LEADER_PATIENCE.min(timeout);
@@ -177,10 +177,10 @@
         time::sleep(RETRY_PAUSE.min(end.saturating_duration_since(Instant::now()))).await;
     }
     if may_be_done {
-        return Answer::Uncertain;
+        return Response::Uncertain;
     }
     let retry_after_ms = retry_after_ms(leader_silent_ms(node));
-    Answer::Refused { reason: "no leader is known", retry_after_ms }
+    Response::Refused { reason: "no leader is known", retry_after_ms }
 }
 
 /// How long the leader has not answered this instance.
@@ -189,9 +189,9 @@
 }
 
 /// A refusal after an earlier try that may have been done proves nothing.
-fn settle(answer: Answer, may_be_done: bool) -> Answer {
+fn settle(answer: Response, may_be_done: bool) -> Response {
     match answer {
-        Answer::Refused { .. } if may_be_done => Answer::Uncertain,
+        Response::Refused { .. } if may_be_done => Response::Uncertain,
         answer => answer,
     }
 }
--- a/lilacpass-node/src/lead_handle.rs
+++ b/lilacpass-node/src/lead_handle.rs
@@ -3,7 +3,7 @@
 use lilacpass_jobs::JobKey;
 use lilacpass_lead::{
     Event,
-    event::{Answer, Ask},
+    event::{Request, Response},
 };
 use tokio::sync::{mpsc, oneshot, watch};
 
@@ -15,7 +15,7 @@
     /// Something happened.
     Event(Event),
     /// A caller asks.
-    Ask(Ask, oneshot::Sender<Answer>),
+    Ask(Request, oneshot::Sender<Response>),
     /// The store has surely done nothing of the append under way.
     NotAppended {
         /// Number of the next append.
@@ -52,7 +52,7 @@
     }
 
     /// Asks the leader. None where it ended before it answered: it may have done what was asked.
-    pub async fn ask(&self, ask: Ask) -> Option<Answer> {
+    pub async fn ask(&self, ask: Request) -> Option<Response> {
         let (sender, receiver) = oneshot::channel();
         self.messages.send(Message::Ask(ask, sender)).ok()?;
         receiver.await.ok()
--- a/lilacpass-node/src/leading.rs
+++ b/lilacpass-node/src/leading.rs
@@ -5,7 +5,7 @@
 use lilacpass_jobs::WorkerName;
 use lilacpass_lead::{
     Effect, Event, Leader, Now, Options,
-    event::{Answer, Lane, Record, Token},
+    event::{Lane, Record, RequestId, Response},
 };
 use lilacpass_platform::{
     store::{self, Writer},
@@ -61,7 +61,7 @@
         messages,
         intake: Intake::default(),
         callers: HashMap::new(),
-        next_token: 0,
+        next_request_id: 0,
         next_sequence: won.sequence + 1,
         lanes_at_ms: 0,
         deposed: false,
@@ -95,7 +95,7 @@
         let sent_ms = clock::now().steady_ms;
         let writer = Writer { epoch, sequence: first_sequence + renewal };
         let message = match append::store(&node, &partition, writer, &records).await {
-            Ok(()) => Message::Event(Event::Confirmed { sent_ms }),
+            Ok(()) => Message::Event(Event::LeadershipConfirmed { sent_ms }),
             Err(Failure::Deposed) => Message::Deposed,
             Err(Failure::NotDone) => {
                 time::sleep(RENEWAL_INTERVAL).await;
@@ -116,8 +116,8 @@
     leader: Leader,
     messages: mpsc::UnboundedSender<Message>,
     intake: Intake<Message>,
-    callers: HashMap<Token, oneshot::Sender<Answer>>,
-    next_token: u64,
+    callers: HashMap<RequestId, oneshot::Sender<Response>>,
+    next_request_id: u64,
     next_sequence: u64,
     lanes_at_ms: u64,
     deposed: bool,
@@ -169,11 +169,11 @@
         let now = clock::now();
         match message {
             Message::Event(event) => self.leader.handle(event, now),
-            Message::Ask(ask, caller) => {
-                let token = Token(self.next_token);
-                self.next_token += 1;
-                self.callers.insert(token, caller);
-                self.leader.handle(Event::Asked { token, ask }, now);
+            Message::Ask(request, caller) => {
+                let request_id = RequestId(self.next_request_id);
+                self.next_request_id += 1;
+                self.callers.insert(request_id, caller);
+                self.leader.handle(Event::Request { request_id, request }, now);
             }
             Message::NotAppended { next_sequence } => {
                 self.next_sequence = next_sequence;
@@ -267,23 +267,23 @@
 
     fn carry_out_one(&mut self, effect: Effect) {
         match effect {
-            Effect::Reply { token, answer } => {
-                if let Some(caller) = self.callers.remove(&token) {
+            Effect::Reply { request_id, response } => {
+                if let Some(caller) = self.callers.remove(&request_id) {
                     // A caller that has left needs no answer.
-                    let _left = caller.send(answer);
+                    let _left = caller.send(response);
                 }
             }
             Effect::Append(records) => self.append(records),
-            Effect::Look {
+            Effect::Poll {
                 worker,
                 address,
                 lease_until_ms,
-                forget_upto,
+                forget_up_to,
                 wait_ms,
                 answer_ms,
                 extra,
             } => {
-                let look = Look { lease_until_ms, forget_upto, wait_ms, answer_ms };
+                let look = Look { lease_until_ms, forget_upto: forget_up_to, wait_ms, answer_ms };
                 let via = if extra { None } else { self.relay_for(&worker, 0) };
                 let node = self.node.clone();
                 let epoch = self.epoch;
@@ -293,7 +293,7 @@
                     let sent = time::Instant::now();
                     let result = orders::look(&node, via, target, look).await;
                     node.metrics.order("look", metrics::outcome(&result), sent.elapsed());
-                    Event::Looked { worker, sent_ms, extra, result }
+                    Event::Polled { worker, sent_ms, extra, result }
                 });
             }
             Effect::Start {
@@ -337,7 +337,7 @@
                     Event::Stopped { worker, task, run, result }
                 });
             }
-            Effect::Advise { lane, step, workers, expected_ms } => {
+            Effect::RequestAdvice { lane, step, workers, expected_ms } => {
                 let node = self.node.clone();
                 self.spawn(async move {
                     let timeout = Duration::from_millis(expected_ms) + ADVICE_SLACK;
@@ -346,7 +346,7 @@
                     } else {
                         peers::advise_by(&node, &lane.0, step, &workers, timeout).await
                     };
-                    Event::Advised { lane, step, asked: workers, advice }
+                    Event::AdviceReceived { lane, step, asked: workers, advice }
                 });
             }
             Effect::Deposed => {
--- a/lilacpass-node/src/orders.rs
+++ b/lilacpass-node/src/orders.rs
@@ -8,7 +8,7 @@
 
 use lilacpass_core::Verdict;
 use lilacpass_jobs::TaskName;
-use lilacpass_lead::event::{CallError, LookAnswer, Refusal};
+use lilacpass_lead::event::{CallError, PollResponse, Refusal};
 use lilacpass_platform::workers::{self, Look, Start, Target};
 use tokio::time;
 
@@ -39,7 +39,7 @@
     via: Via,
     target: Target<'_>,
     look: Look,
-) -> Result<LookAnswer, CallError> {
+) -> Result<PollResponse, CallError> {
     let Some(relay) = via else {
         let result = Box::pin(node.workers.look(target, look)).await;
         node.relays.borrow_mut().looked(target.name, result.is_ok());
--- a/lilacpass-node/src/peers.rs
+++ b/lilacpass-node/src/peers.rs
@@ -7,10 +7,10 @@
 use http::{Method, StatusCode};
 use lilacpass_core::{Verdict, size};
 use lilacpass_jobs::{JobKey, StepName, WorkerName};
-use lilacpass_lead::event::{Advice, Answer, Ask, JobState, TicketRow};
+use lilacpass_lead::event::{Advice, JobState, Request, Response, WorkerTicket};
 use lilacpass_platform::{
     advice,
-    client::{Call, Response},
+    client::{Call, Response as HttpResponse},
     desired::Limits,
     error::{Error, Result},
     server::{Received, Reply},
@@ -168,7 +168,7 @@
     Call { address, method: Method::POST, path, headers: &[], body, timeout }
 }
 
-fn read<M: Message + Default>(response: &Response) -> Result<M> {
+fn read<M: Message + Default>(response: &HttpResponse) -> Result<M> {
     if response.status != StatusCode::OK {
         return Err(Error::Status(response.status.as_u16()));
     }
@@ -249,7 +249,7 @@
 #[derive(Debug)]
 pub enum Handed {
     /// It answered.
-    Answered(Answer),
+    Answered(Response),
     /// It does not lead, and has done nothing.
     NotLeading,
     /// No answer; the verdict says whether it may have been done.
@@ -257,7 +257,7 @@
 }
 
 /// Hands a request to the leader.
-pub async fn hand_on(node: &Node, address: &str, ask: &Ask, timeout: Duration) -> Handed {
+pub async fn hand_on(node: &Node, address: &str, ask: &Request, timeout: Duration) -> Handed {
     let message = encode_ask(ask);
     match post::<v1::PeerWorkReply>(node, address, WORK_PATH, &message, timeout).await {
         Ok(reply) => decode_answer(ask, reply),
@@ -278,24 +278,24 @@
     }
 }
 
-fn encode_ask(ask: &Ask) -> v1::PeerWork {
+fn encode_ask(ask: &Request) -> v1::PeerWork {
     let mut work = v1::PeerWork::default();
     match ask {
-        Ask::Submit { job, plan, queue } => {
+        Request::Submit { job, plan, queue } => {
             work.set_op(v1::WorkOp::WorkSubmit);
             work.job = job.0;
             work.plan = Some(plan.clone());
             work.queue = Some(queue.clone());
         }
-        Ask::State(job) => {
+        Request::State(job) => {
             work.set_op(v1::WorkOp::WorkState);
             work.job = job.0;
         }
-        Ask::Cancel(job) => {
+        Request::Cancel(job) => {
             work.set_op(v1::WorkOp::WorkCancel);
             work.job = job.0;
         }
-        Ask::Pending { queue } => {
+        Request::Pending { queue } => {
             work.set_op(v1::WorkOp::WorkPending);
             work.queue = Some(v1::QueuePolicy { name: queue.clone(), ..Default::default() });
         }
@@ -303,13 +303,13 @@
     work
 }
 
-fn decode_ask(work: v1::PeerWork) -> Option<Ask> {
+fn decode_ask(work: v1::PeerWork) -> Option<Request> {
     let job = JobKey(work.job);
     Some(match work.op() {
-        v1::WorkOp::WorkSubmit => Ask::Submit { job, plan: work.plan?, queue: work.queue? },
-        v1::WorkOp::WorkState => Ask::State(job),
-        v1::WorkOp::WorkCancel => Ask::Cancel(job),
-        v1::WorkOp::WorkPending => Ask::Pending { queue: work.queue?.name },
+        v1::WorkOp::WorkSubmit => Request::Submit { job, plan: work.plan?, queue: work.queue? },
+        v1::WorkOp::WorkState => Request::State(job),
+        v1::WorkOp::WorkCancel => Request::Cancel(job),
+        v1::WorkOp::WorkPending => Request::Pending { queue: work.queue?.name },
     })
 }
 
@@ -328,48 +328,48 @@
     JobState::Cancelled,
 ];
 
-fn encode_answer(answer: &Answer) -> v1::PeerWorkReply {
+fn encode_answer(answer: &Response) -> v1::PeerWorkReply {
     match answer {
-        Answer::Done => reply(v1::WorkOutcome::WorkOk),
-        Answer::State(state) => {
+        Response::Done => reply(v1::WorkOutcome::WorkOk),
+        Response::State(state) => {
             let number = STATES.iter().position(|s| s == state).unwrap_or_default() as u64;
             v1::PeerWorkReply { pending: number, ..reply(v1::WorkOutcome::WorkOk) }
         }
-        Answer::Pending(pending) => {
+        Response::Pending(pending) => {
             v1::PeerWorkReply { pending: *pending, ..reply(v1::WorkOutcome::WorkOk) }
         }
-        Answer::UnknownJob => reply(v1::WorkOutcome::WorkUnknownJob),
-        Answer::Refused { reason, retry_after_ms } => v1::PeerWorkReply {
+        Response::UnknownJob => reply(v1::WorkOutcome::WorkUnknownJob),
+        Response::Refused { reason, retry_after_ms } => v1::PeerWorkReply {
             detail: (*reason).to_owned(),
             retry_after_ms: *retry_after_ms,
             ..reply(v1::WorkOutcome::WorkRefused)
         },
-        Answer::Invalid(reason) => {
+        Response::Invalid(reason) => {
             v1::PeerWorkReply { detail: reason.clone(), ..reply(v1::WorkOutcome::WorkInvalid) }
         }
-        Answer::Conflict => reply(v1::WorkOutcome::WorkConflict),
-        Answer::Uncertain => reply(v1::WorkOutcome::WorkUncertain),
+        Response::Conflict => reply(v1::WorkOutcome::WorkConflict),
+        Response::Uncertain => reply(v1::WorkOutcome::WorkUncertain),
     }
 }
 
-fn decode_answer(ask: &Ask, reply: v1::PeerWorkReply) -> Handed {
+fn decode_answer(ask: &Request, reply: v1::PeerWorkReply) -> Handed {
     let answer = match reply.outcome() {
         v1::WorkOutcome::WorkNotLeading => return Handed::NotLeading,
         v1::WorkOutcome::WorkOk => match ask {
-            Ask::Submit { .. } | Ask::Cancel(_) => Answer::Done,
-            Ask::State(_) => match STATES.get(reply.pending as usize) {
-                Some(&state) => Answer::State(state),
+            Request::Submit { .. } | Request::Cancel(_) => Response::Done,
+            Request::State(_) => match STATES.get(reply.pending as usize) {
+                Some(&state) => Response::State(state),
                 None => return Handed::Failed(Verdict::MayHaveRun),
             },
-            Ask::Pending { .. } => Answer::Pending(reply.pending),
+            Request::Pending { .. } => Response::Pending(reply.pending),
         },
-        v1::WorkOutcome::WorkUnknownJob => Answer::UnknownJob,
-        v1::WorkOutcome::WorkRefused => Answer::Refused {
+        v1::WorkOutcome::WorkUnknownJob => Response::UnknownJob,
+        v1::WorkOutcome::WorkRefused => Response::Refused {
             reason: "refused by the leader",
             retry_after_ms: reply.retry_after_ms,
         },
-        v1::WorkOutcome::WorkInvalid => Answer::Invalid(reply.detail),
-        v1::WorkOutcome::WorkConflict => Answer::Conflict,
+        v1::WorkOutcome::WorkInvalid => Response::Invalid(reply.detail),
+        v1::WorkOutcome::WorkConflict => Response::Conflict,
         v1::WorkOutcome::WorkUncertain => return Handed::Failed(Verdict::MayHaveRun),
     };
     Handed::Answered(answer)
@@ -396,7 +396,7 @@
     if !reply.answered {
         return None;
     }
-    let row = |row: v1::AdviceTicket| TicketRow {
+    let row = |row: v1::AdviceTicket| WorkerTicket {
         worker: WorkerName::from(row.worker.as_str()),
         ticket: row.ticket,
     };
@@ -428,7 +428,7 @@
     let asked = time::Instant::now();
     let Some(advice) = advise(node, step, &workers, timeout).await else { return nothing };
     log::debug!(step:% = step, took_ms = asked.elapsed().as_millis() as u64; "advice");
-    let row = |row: TicketRow| v1::AdviceTicket {
+    let row = |row: WorkerTicket| v1::AdviceTicket {
         worker: row.worker.as_str().to_owned(),
         ticket: row.ticket,
     };
--- a/lilacpass-node/src/registered.rs
+++ b/lilacpass-node/src/registered.rs
@@ -61,7 +61,7 @@
     /// The worker that an entry names, as it was last seen.
     fn listed(&self, placed: &Placed) -> Option<Event> {
         let name = WorkerName::from(placed.record.key.as_str());
-        self.seen.get(&name)?.worker.clone().map(Event::WorkerListed)
+        self.seen.get(&name)?.worker.clone().map(Event::WorkerRegistered)
     }
 
     /// Whether a worker was missing from the last look. Only a look at all entries tells whether it still is.
@@ -84,13 +84,13 @@
             Ok(worker) if seen.worker.as_ref() == Some(&worker) => None,
             Ok(worker) => {
                 seen.worker = Some(worker.clone());
-                Some(Event::WorkerListed(worker))
+                Some(Event::WorkerRegistered(worker))
             }
             // Entries are written again and again; one line tells of all until the entry can be read.
             Err(err) if is_new || seen.worker.is_some() => {
                 seen.worker = None;
                 log::warn!(worker = key, error:% = err; "registration is passed over");
-                Some(Event::WorkerUnlisted(name))
+                Some(Event::WorkerUnregistered(name))
             }
             Err(_) => None,
         }
@@ -111,7 +111,7 @@
             let is_gone = seen.missing >= MISSING_LOOKS;
             if is_gone {
                 log::info!(worker:% = name; "worker is no longer registered");
-                events.push(Event::WorkerUnlisted(name.clone()));
+                events.push(Event::WorkerUnregistered(name.clone()));
             }
             !is_gone
         });
--- a/lilacpass-node/src/registry_watch.rs
+++ b/lilacpass-node/src/registry_watch.rs
@@ -66,7 +66,7 @@
                 continue;
             }
         };
-        events.push(Event::WorkersRead);
+        events.push(Event::RegistrationsRead);
         for event in events {
             if messages.send(Message::Event(event)).is_err() {
                 return;
--- a/lilacpass-node/src/relay_messages.rs
+++ b/lilacpass-node/src/relay_messages.rs
@@ -2,7 +2,7 @@
 
 use lilacpass_core::Verdict;
 use lilacpass_jobs::{End, JobKey, StepName, TaskName};
-use lilacpass_lead::event::{CallError, EndRow, LookAnswer, Refusal, RunningRow};
+use lilacpass_lead::event::{CallError, PollResponse, Refusal, ReportedEnd, ReportedRun};
 use lilacpass_platform::workers::{Look, Start};
 use lilacpass_schema::v1;
 
@@ -100,7 +100,7 @@
 }
 
 /// What came of a look.
-pub fn look_outcome(number: u64, result: Result<LookAnswer, CallError>) -> v1::RelayedOutcome {
+pub fn look_outcome(number: u64, result: Result<PollResponse, CallError>) -> v1::RelayedOutcome {
     match result {
         Ok(answer) => {
             let answer = Some(write_answer(answer));
@@ -113,7 +113,7 @@
 /// Reads what came of an order; of a look that was answered, the answer.
 ///
 /// An outcome that makes no sense counts as none: the order may have been carried out.
-pub fn read_outcome(message: v1::RelayedOutcome) -> Result<Option<LookAnswer>, CallError> {
+pub fn read_outcome(message: v1::RelayedOutcome) -> Result<Option<PollResponse>, CallError> {
     let refused = |refusal| Err(CallError::Refused(refusal));
     match message.outcome() {
         v1::OrderOutcome::OrderUncertain => Err(CallError::Failed(Verdict::MayHaveRun)),
@@ -135,14 +135,14 @@
     }
 }
 
-fn write_answer(answer: LookAnswer) -> v1::RelayedAnswer {
-    let running = |row: RunningRow| v1::RelayedRunning {
+fn write_answer(answer: PollResponse) -> v1::RelayedAnswer {
+    let running = |row: ReportedRun| v1::RelayedRunning {
         run: Some(write_run(row.task, row.run)),
         checkpoint: row.checkpoint,
         percent: row.percent,
         gauge: row.gauge,
     };
-    let end = |row: EndRow| v1::RelayedEnd {
+    let end = |row: ReportedEnd| v1::RelayedEnd {
         number: row.number,
         run: Some(write_run(row.task, row.end.run)),
         how: row.end.how.as_str().to_owned(),
@@ -158,18 +158,22 @@
 
 /// Reads the answer to a look. None where a row does not name its run: a run that is left out counts as gone, and its
 /// task would run twice.
-fn read_answer(answer: v1::RelayedAnswer) -> Option<LookAnswer> {
+fn read_answer(answer: v1::RelayedAnswer) -> Option<PollResponse> {
     let running = |row: v1::RelayedRunning| {
         let (task, run) = read_run(row.run.as_ref())?;
         let v1::RelayedRunning { checkpoint, percent, gauge, .. } = row;
-        Some(RunningRow { task, run, checkpoint, percent, gauge })
+        Some(ReportedRun { task, run, checkpoint, percent, gauge })
     };
     let end = |row: v1::RelayedEnd| {
         let (task, run) = read_run(row.run.as_ref())?;
         let how = row.how.parse().ok()?;
-        Some(EndRow { number: row.number, task, end: End { run, how, checkpoint: row.checkpoint } })
+        Some(ReportedEnd {
+            number: row.number,
+            task,
+            end: End { run, how, checkpoint: row.checkpoint },
+        })
     };
-    Some(LookAnswer {
+    Some(PollResponse {
         clock_ms: answer.clock_ms,
         running: answer.running.into_iter().map(running).collect::<Option<_>>()?,
         ends: answer.ends.into_iter().map(end).collect::<Option<_>>()?,
--- a/lilacpass-node/src/relays.rs
+++ b/lilacpass-node/src/relays.rs
@@ -11,7 +11,7 @@
 
 use lilacpass_core::{Verdict, rendezvous};
 use lilacpass_jobs::WorkerName;
-use lilacpass_lead::event::{CallError, LookAnswer};
+use lilacpass_lead::event::{CallError, PollResponse};
 use lilacpass_schema::v1;
 use serde_json::{Value, json};
 use tokio::sync::oneshot;
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub enum Relayed {
     /// The relay carried it out; of a look that was answered, the answer.
-    Outcome(Result<Option<LookAnswer>, CallError>),
+    Outcome(Result<Option<PollResponse>, CallError>),
     /// The relay told nothing of it.
     Lost(Verdict),
 }
--- a/lilacpass-node/tests/registry_watch.rs
+++ b/lilacpass-node/tests/registry_watch.rs
@@ -21,7 +21,7 @@
 }
 
 fn is_listed(event: &Event, name: &str) -> bool {
-    matches!(event, Event::WorkerListed(entry) if entry.name == WorkerName::from(name))
+    matches!(event, Event::WorkerRegistered(entry) if entry.name == WorkerName::from(name))
 }
 
 /// A worker goes on being given work after another writer has written over its entry.
@@ -31,7 +31,7 @@
     let events = registered.all(vec![placed("w-1", 1, GOOD), placed("w-2", 2, "{}")]);
     assert_eq!(events.iter().filter(|event| is_listed(event, "w-1")).count(), 1);
     let events = registered.all(vec![placed("w-1", 3, "{"), placed("w-2", 4, "{}")]);
-    assert_eq!(events, [Event::WorkerUnlisted(WorkerName::from("w-1"))]);
+    assert_eq!(events, [Event::WorkerUnregistered(WorkerName::from("w-1"))]);
     let events = registered.all(vec![placed("w-1", 5, GOOD)]);
     let listed = events.iter().filter(|event| is_listed(event, "w-1")).count();
     assert_eq!(listed, 1, "and used again once it can be read");
@@ -43,7 +43,7 @@
     let mut registered = Registered::default();
     registered.all(vec![placed("w-1", 1, GOOD)]);
     let events = registered.changed(vec![placed("w-1", 2, "{")]);
-    assert_eq!(events, [Event::WorkerUnlisted(WorkerName::from("w-1"))]);
+    assert_eq!(events, [Event::WorkerUnregistered(WorkerName::from("w-1"))]);
     let events = registered.changed(vec![placed("w-1", 3, GOOD)]);
     assert_eq!(events.iter().filter(|event| is_listed(event, "w-1")).count(), 1);
 }
@@ -55,7 +55,10 @@
     registered.all(vec![placed("w-1", 1, GOOD)]);
     assert_eq!(registered.changed(vec![placed("w-1", 2, GOOD), placed("w-1", 3, GOOD)]), []);
     let events = registered.changed(vec![placed("w-1", 4, DRAINS)]);
-    assert!(matches!(&events[..], [Event::WorkerListed(entry)] if entry.draining), "{events:?}");
+    assert!(
+        matches!(&events[..], [Event::WorkerRegistered(entry)] if entry.draining),
+        "{events:?}"
+    );
 }
 
 /// Guards against a leader that goes on filling a worker that has said that it has less room.
@@ -70,7 +73,7 @@
         let events = registered.changed(vec![placed("w-1", offset, &says(cpu))]);
         let room = Resources::new(u64::from(cpu), 100, 0, 0);
         assert!(
-            matches!(&events[..], [Event::WorkerListed(entry)] if entry.capacity == room),
+            matches!(&events[..], [Event::WorkerRegistered(entry)] if entry.capacity == room),
             "{events:?}"
         );
     }
@@ -84,7 +87,7 @@
     assert_eq!(registered.changed(vec![placed("w-1", 3, ""), placed("w-2", 4, "")]), []);
     assert!(registered.any_missing());
     let events = registered.all(vec![placed("w-2", 5, GOOD)]);
-    assert!(events.contains(&Event::WorkerUnlisted(WorkerName::from("w-1"))), "{events:?}");
+    assert!(events.contains(&Event::WorkerUnregistered(WorkerName::from("w-1"))), "{events:?}");
     assert!(events.iter().any(|event| is_listed(event, "w-2")), "{events:?}");
     assert!(!registered.any_missing());
 }
@@ -96,7 +99,7 @@
     registered.all(vec![placed("w-1", 1, GOOD)]);
     assert_eq!(registered.all(Vec::new()), []);
     assert!(registered.any_missing());
-    assert_eq!(registered.all(Vec::new()), [Event::WorkerUnlisted(WorkerName::from("w-1"))]);
+    assert_eq!(registered.all(Vec::new()), [Event::WorkerUnregistered(WorkerName::from("w-1"))]);
 }
 
 /// An instance with a link of 2 Mbit/s leads, and accepted work is lost on a calm day: renewals, looks and orders wait
--- a/lilacpass-node/tests/relay_messages.rs
+++ b/lilacpass-node/tests/relay_messages.rs
@@ -2,14 +2,14 @@
 
 use lilacpass_core::Verdict;
 use lilacpass_jobs::{End, How, JobKey, StepName};
-use lilacpass_lead::event::{CallError, EndRow, LookAnswer, Refusal, RunningRow};
+use lilacpass_lead::event::{CallError, PollResponse, Refusal, ReportedEnd, ReportedRun};
 use lilacpass_node::relay_messages;
 use lilacpass_schema::v1;
 use prost::Message;
 
-fn answer() -> LookAnswer {
+fn answer() -> PollResponse {
     let step = StepName { job: JobKey(u64::MAX), occurrence: 3, step: 1 };
-    let running = RunningRow {
+    let running = ReportedRun {
         task: step.task(7),
         run: 2,
         checkpoint: "saved".to_owned(),
@@ -17,10 +17,10 @@
         gauge: 9,
     };
     let end = End { run: 1, how: How::Broken, checkpoint: String::new() };
-    LookAnswer {
+    PollResponse {
         clock_ms: 900_000,
         running: vec![running],
-        ends: vec![EndRow { number: 5, task: step.task(0), end }],
+        ends: vec![ReportedEnd { number: 5, task: step.task(0), end }],
         remaining_ms: Some(0),
     }
 }
