--- a/lilacpass-lead/src/ahead.rs
+++ b/lilacpass-lead/src/advance_reservations.rs
@@ -9,7 +9,7 @@
 use lilacpass_schema::v1;
 
 use crate::{
-    event::Now, leader::Leader, options::Mechanism, place, rank::Rank, reserve::Share,
+    event::Now, leader::Leader, options::Mechanism, place, rank::Rank, reservations::Share,
     worker::Worker,
 };
 
@@ -39,11 +39,11 @@
     ///
     /// By waiting time and not by order: in an overload the first in order change all the time, and the last
     /// would never have a turn.
-    pub(crate) fn keep_room_ahead(&mut self, now: Now) {
-        if !self.options.uses(Mechanism::RoomAhead) {
+    pub(crate) fn make_advance_reservations(&mut self, now: Now) {
+        if !self.options.uses(Mechanism::AdvanceReservations) {
             return;
         }
-        for name in self.waiting.since(now.steady_ms.saturating_sub(WAITED_MS)) {
+        for name in self.waiting.waiting_since(now.steady_ms.saturating_sub(WAITED_MS)) {
             self.keep_ahead(name, now);
         }
     }
@@ -53,17 +53,17 @@
     /// Load pattern: after an outage thousands of steps ask, and the more urgent take every lane that falls idle. The
     /// room that is kept for a step then lapses unused again and again, for want of a ticket: accepted work stood
     /// still for half a minute while most workers had room. Most lanes stay with those that are first in order.
-    pub(crate) fn ask_for_kept_room(&mut self, now: Now) {
-        if !self.lanes.any_idle() {
+    pub(crate) fn request_advice_for_advance_reservations(&mut self, now: Now) {
+        if !self.lanes.has_idle() {
             return;
         }
-        let steps = self.reservations.steps_ahead();
+        let steps = self.reservations.steps_with_advance();
         let is_asking = |step: &StepName| self.advice.get(step).is_some_and(|advice| advice.asking);
         let asking = steps.iter().filter(|step| is_asking(step)).count();
         let may_ask = (self.lanes.len() / LANES_IN).max(1).saturating_sub(asking);
         let steps: Vec<StepName> = steps.into_iter().filter(|step| !is_asking(step)).collect();
         for step in steps.into_iter().take(may_ask) {
-            self.ask_advice(step, now);
+            self.request_advice(step, now);
         }
     }
 
@@ -78,7 +78,7 @@
         let plan = entry.job.step_plan(name.step);
         let service = &entry.job.queue.service;
         let pool = self.pool_sizes.get(service).copied().unwrap_or(0);
-        if self.reservations.ahead(service) >= (pool / WORKERS_A_STEP).max(1) {
+        if self.reservations.advance_count(service) >= (pool / WORKERS_A_STEP).max(1) {
             return;
         }
         let wanted = if plan.gang { u64::from(plan.count) } else { 1 };
@@ -94,7 +94,7 @@
         let shares: Vec<Share> = offers.into_iter().map(|offer| (offer.worker, need)).collect();
         log::info!(step:% = name, wait_ms, workers = shares.len(); "room kept ahead");
         let service = service.clone();
-        self.reservations.set_ahead(rank, shares, until_ms, &service);
+        self.reservations.set_advance(rank, shares, until_ms, &service);
     }
 
     /// The workers that can hold a task of a step. Those of which it is not known whether it may run there
@@ -114,7 +114,7 @@
             .filter(|worker| {
                 verdict(worker) != Some(false) && self.could_start(worker, name, plan, now)
             })
-            .filter(|worker| self.may_take(worker, name, plan) > 0)
+            .filter(|worker| self.remaining_task_limit(worker, name, plan) > 0)
             .filter_map(|worker| {
                 let wait_ms = self.wait_for_room_ms(worker, plan, rank, now)?;
                 let is_unknown = verdict(worker).is_none();
@@ -133,7 +133,7 @@
         now: Now,
     ) -> Option<u64> {
         let need = place::need(plan);
-        let kept = self.reservations.kept_from(rank, &worker.entry.name);
+        let kept = self.reservations.reserved_before(rank, &worker.entry.name);
         let mut ends: Vec<(u64, Resources)> = worker
             .runs
             .iter()
--- a/lilacpass-lead/src/advice.rs
+++ b/lilacpass-lead/src/advice.rs
@@ -61,7 +61,7 @@
     }
 
     /// Forgets a ticket that a worker did not accept.
-    pub fn drop_ticket(&mut self, worker: &WorkerName) {
+    pub fn remove_ticket(&mut self, worker: &WorkerName) {
         self.tickets.remove(worker);
     }
 
@@ -177,7 +177,7 @@
     }
 
     /// Takes an idle lane for a call about a step of a queue that takes about `expected_ms`.
-    pub fn take(&mut self, queue: &str, expected_ms: u64) -> Option<Lane> {
+    pub fn acquire(&mut self, queue: &str, expected_ms: u64) -> Option<Lane> {
         if !self.may_call(queue, expected_ms) {
             return None;
         }
@@ -209,7 +209,7 @@
     }
 
     /// Gives a lane back.
-    pub fn give_back(&mut self, lane: &Lane) {
+    pub fn release(&mut self, lane: &Lane) {
         if let Some(state) = self.lanes.get_mut(lane) {
             *state = LaneState::Idle;
         }
@@ -227,12 +227,12 @@
     }
 
     /// Whether any lane is idle.
-    pub fn any_idle(&self) -> bool {
+    pub fn has_idle(&self) -> bool {
         self.load.any_idle
     }
 
     /// Whether a lane is idle for a call that takes so long.
-    pub fn any_idle_for(&self, expected_ms: u64) -> bool {
+    pub fn has_idle_for(&self, expected_ms: u64) -> bool {
         if expected_ms > SLOW_CALL_MS { self.load.any_idle_for_slow } else { self.load.any_idle }
     }
 
--- a/lilacpass-lead/src/askers.rs
+++ b/lilacpass-lead/src/advice_queue.rs
@@ -15,7 +15,7 @@
 
 /// Steps that wait and are not being asked about.
 #[derive(Debug, Default)]
-pub struct Askers {
+pub struct AdviceQueue {
     /// Queues are dozens, and one that has had a step here stays.
     groups: Vec<Group>,
     /// Steps whose time to ask has not come, with that time on the steady clock.
@@ -37,9 +37,9 @@
     Paused { until_ms: u64 },
 }
 
-impl Askers {
+impl AdviceQueue {
     /// A step may ask. `base_ms` is the shortest time that the call takes.
-    pub fn open(&mut self, rank: Rank, queue: &str, base_ms: u64) {
+    pub fn enqueue(&mut self, rank: Rank, queue: &str, base_ms: u64) {
         self.remove(rank.step);
         let group = self.group(queue, base_ms);
         self.groups[group].ranks.insert(rank);
@@ -47,7 +47,7 @@
     }
 
     /// A step may ask from a time on the steady clock on.
-    pub fn pause(&mut self, step: StepName, until_ms: u64) {
+    pub fn delay(&mut self, step: StepName, until_ms: u64) {
         self.remove(step);
         self.paused.insert((until_ms, step));
         self.steps.insert(step, Place::Paused { until_ms });
@@ -67,7 +67,7 @@
     }
 
     /// Takes the steps whose time to ask has come.
-    pub fn wake(&mut self, now_ms: u64) -> Vec<StepName> {
+    pub fn take_due(&mut self, now_ms: u64) -> Vec<StepName> {
         let mut awake = Vec::new();
         while let Some(&(until_ms, step)) = self.paused.first() {
             if until_ms > now_ms {
--- a/lilacpass-lead/src/asking.rs
+++ b/lilacpass-lead/src/advice_requests.rs
@@ -15,7 +15,7 @@
 };
 
 /// Most workers that one call for advice may name.
-pub(crate) const MOST_ASKED: usize = 100;
+pub(crate) const MAX_WORKERS_PER_CALL: usize = 100;
 /// Share of workers that are allowed, before a queue has shown its own.
 const GOOD_SHARE_AT_FIRST: f64 = 0.5;
 /// Weight of a new answer in the learned share.
@@ -36,10 +36,10 @@
     ///
     /// Its other tasks end soon after. With tickets at hand by then, the end of this step and the starts of the
     /// next are recorded together.
-    pub(crate) fn ask_for_next_steps(&mut self, done: StepName, now: Now) {
+    pub(crate) fn request_advice_for_next_steps(&mut self, done: StepName, now: Now) {
         let Some(entry) = self.jobs.get(&done.job) else { return };
         let is_quick = entry.job.queue.advice.is_some_and(|policy| policy.base_ms <= MOST_AHEAD_MS);
-        if !is_quick || !self.lanes.any_idle() {
+        if !is_quick || !self.lanes.has_idle() {
             return;
         }
         let next: Vec<StepName> = entry
@@ -50,13 +50,13 @@
             .filter(|name| !self.advice.contains_key(name))
             .collect();
         for name in next {
-            self.ask_advice(name, now);
+            self.request_advice(name, now);
         }
     }
 
     /// Asks which workers may run a step, unless a call is under way, its time has not come, or there is
     /// nobody to ask about.
-    pub(crate) fn ask_advice(&mut self, name: StepName, now: Now) {
+    pub(crate) fn request_advice(&mut self, name: StepName, now: Now) {
         let Some(entry) = self.jobs.get(&name.job) else { return };
         let Some(policy) = entry.job.queue.advice else { return };
         let known = self.advice.get(&name);
@@ -83,9 +83,10 @@
         let candidates = self.candidates(name, &plan, &wanted, now);
         if candidates.is_empty() {
             self.advice.entry(name).or_default().nobody_to_ask(now.steady_ms);
-            return self.review_asker(name, now);
+            return self.update_advice_queue(name, now);
         }
-        let mut workers = advice::choose(&candidates, wanted.tasks, wanted.good_share, MOST_ASKED);
+        let mut workers =
+            advice::choose(&candidates, wanted.tasks, wanted.good_share, MAX_WORKERS_PER_CALL);
         if workers.is_empty() {
             return;
         }
@@ -94,7 +95,7 @@
             workers.extend(self.unknown_workers(name, &plan, &workers, extra_workers(&policy)));
         }
         let expected_ms = (policy.base_ms + policy.per_worker_ms * workers.len() as f64) as u64;
-        let Some(lane) = self.lanes.take(&entry.job.queue.name, expected_ms) else { return };
+        let Some(lane) = self.lanes.acquire(&entry.job.queue.name, expected_ms) else { return };
         self.advice.entry(name).or_default().asking = true;
         self.askers.remove(name);
         log::info!(
@@ -106,7 +107,7 @@
     }
 
     /// Notes whether and when a step may ask.
-    pub(crate) fn review_asker(&mut self, step: StepName, now: Now) {
+    pub(crate) fn update_advice_queue(&mut self, step: StepName, now: Now) {
         let policy = self.jobs.get(&step.job).and_then(|entry| {
             let policy = entry.job.queue.advice?;
             Some((entry.job.queue.name.as_str(), policy.base_ms as u64))
@@ -117,9 +118,9 @@
         match self.advice.get(&step) {
             Some(advice) if advice.asking => self.askers.remove(step),
             Some(advice) if now.steady_ms < advice.ask_from_ms => {
-                self.askers.pause(step, advice.ask_from_ms);
+                self.askers.delay(step, advice.ask_from_ms);
             }
-            Some(_) | None => self.askers.open(rank, queue, base_ms),
+            Some(_) | None => self.askers.enqueue(rank, queue, base_ms),
         }
     }
 
@@ -148,12 +149,12 @@
                 && advice.is_none_or(|advice| advice.verdict(&worker.entry.name).is_none())
                 && !asked.contains(&worker.entry.name)
         };
-        let most = most.min(MOST_ASKED.saturating_sub(asked.len()));
+        let most = most.min(MAX_WORKERS_PER_CALL.saturating_sub(asked.len()));
         let unknown = self.workers.values().filter(is_unknown).take(most);
         unknown.map(|worker| worker.entry.name.clone()).collect()
     }
 
-    pub(crate) fn on_advised(
+    pub(crate) fn on_advice_received(
         &mut self,
         lane: &Lane,
         step: StepName,
@@ -161,7 +162,7 @@
         answer: Option<Advice>,
         now: Now,
     ) {
-        self.lanes.give_back(lane);
+        self.lanes.release(lane);
         let Some(entry) = self.jobs.get(&step.job) else { return };
         let good = answer.as_ref().map(|answer| answer.good.len());
         log::info!(step:% = step, asked = asked.len(), good:? = good; "advice answered");
@@ -180,11 +181,11 @@
         }
         if self.reservations.workers_of(step).iter().any(is_bad) {
             for worker in self.reservations.release(step) {
-                self.news.free(&worker);
+                self.news.mark_worker_freed(&worker);
             }
         }
-        self.news.change(step);
-        self.review_asker(step, now);
+        self.news.mark_step_changed(step);
+        self.update_advice_queue(step, now);
     }
 }
 
--- a/lilacpass-lead/src/candidates.rs
+++ b/lilacpass-lead/src/candidates.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     advice::{Candidate, StepAdvice},
-    asking::MOST_ASKED,
+    advice_requests::MAX_WORKERS_PER_CALL,
     event::Now,
     leader::{Entry, Leader},
     place,
@@ -18,7 +18,7 @@
 
 /// Most workers that are put in order for one call, of thousands that may come into question. A call names
 /// fewer.
-const MOST_RATED: usize = 2 * MOST_ASKED;
+const MOST_RATED: usize = 2 * MAX_WORKERS_PER_CALL;
 /// Where fewer than one worker in so many has room, those are all put in order.
 const MANY_IN: usize = 8;
 
@@ -105,7 +105,7 @@
 
     fn with_room(&self, search: &Search<'_>, wanted: &Wanted, now: Now) -> Vec<Rated<'_>> {
         let service = &search.entry.job.queue.service;
-        let few = self.rooms.with_room(service, &search.need, self.workers.len() / MANY_IN);
+        let few = self.rooms.fitting(service, &search.need, self.workers.len() / MANY_IN);
         if let Some(few) = few {
             let few = few.into_iter().filter_map(|name| self.workers.get(name));
             return best(self.rate_all(search, few, now));
@@ -134,7 +134,7 @@
         let mut rated = best(self.rate_all(search, allowed.into_iter(), now));
         let home = search.entry.home_of(search.plan);
         let need = if search.preempting { Resources::ZERO } else { search.need };
-        let names = self.rooms.preferred(&search.entry.job.queue.service, home, need);
+        let names = self.rooms.by_preference(&search.entry.job.queue.service, home, need);
         let mut others = names
             .take(MOST_TRIED)
             .filter(|name| search.verdict(name).is_none())
@@ -172,11 +172,11 @@
             return None;
         }
         let room = if *preempting {
-            self.possible_room(rank, worker)
+            self.capacity_with_preemption(rank, worker)
         } else {
-            self.room_for(rank, worker)
+            self.free_capacity_for(rank, worker)
         };
-        let most = (*waiting).min(self.may_take(worker, *name, plan));
+        let most = (*waiting).min(self.remaining_task_limit(worker, *name, plan));
         let fits = place::fits(&room, need, most);
         let score = place::Score::new(worker, plan, entry.home_of(plan));
         let known_good = verdict == Some(true);
--- a/lilacpass-lead/src/rooms.rs
+++ b/lilacpass-lead/src/capacity_index.rs
@@ -19,7 +19,7 @@
 
 /// The workers of each pool, by free processors.
 #[derive(Debug, Default)]
-pub struct Rooms {
+pub struct CapacityIndex {
     /// Pools are few, and one that has had a worker stays.
     pools: Vec<Pool>,
     places: HashMap<WorkerName, Place>,
@@ -50,12 +50,12 @@
     worker: WorkerName,
 }
 
-impl Rooms {
+impl CapacityIndex {
     /// Notes what a worker has free, and whether it can get work at all. To be called whenever either changes.
     ///
     /// One that has not answered this leader can't. Right after a change of the leader none has, and hundreds of
     /// steps look for room.
-    pub fn note(&mut self, worker: &Worker) {
+    pub fn update(&mut self, worker: &Worker) {
         let name = &worker.entry.name;
         if !worker.is_open() {
             return self.remove(name);
@@ -94,7 +94,7 @@
 
     /// The workers of a pool with room for `need`, in the order in which they suit a step: those of its home first, then by what is in
     /// use and free there, then by name.
-    pub fn preferred(
+    pub fn by_preference(
         &self,
         service: &str,
         home: Option<&str>,
@@ -119,7 +119,7 @@
 
     /// The workers of a pool with room for `need`, in order of their names; none where they are more than
     /// `most`.
-    pub fn with_room(
+    pub fn fitting(
         &self,
         service: &str,
         need: &Resources,
@@ -150,8 +150,8 @@
 
 impl Leader {
     /// Workers in order of their names, among them all of a service with room for `need`.
-    pub(crate) fn workers_with_room(&self, service: &str, need: &Resources) -> Vec<&Worker> {
-        match self.rooms.with_room(service, need, self.workers.len() / FEW_IN) {
+    pub(crate) fn workers_fitting(&self, service: &str, need: &Resources) -> Vec<&Worker> {
+        match self.rooms.fitting(service, need, self.workers.len() / FEW_IN) {
             Some(few) => few.into_iter().filter_map(|name| self.workers.get(name)).collect(),
             None => self.workers.values().collect(),
         }
--- a/lilacpass-lead/src/crashes.rs
+++ b/lilacpass-lead/src/crashes.rs
@@ -204,7 +204,7 @@
         }
         let Some(worker) = self.workers.get_mut(name) else { return };
         worker.commanded = false;
-        self.rooms.note(worker);
+        self.rooms.update(worker);
         self.end_all(name, now);
     }
 
--- a/lilacpass-lead/src/ends.rs
+++ b/lilacpass-lead/src/ends.rs
@@ -10,8 +10,8 @@
         let (task, run) = key;
         if let Some(worker) = self.workers.get_mut(worker_name) {
             worker.take(key);
-            self.rooms.note(worker);
-            self.news.free(worker_name);
+            self.rooms.update(worker);
+            self.news.mark_worker_freed(worker_name);
         }
         let Some(entry) = self.jobs.get_mut(&task.step.job) else { return };
         let change = entry.job.end_run(task, worker_name, end, now.unix_ms);
@@ -31,7 +31,7 @@
             Change::TaskDone => {
                 self.stop_copies(task, now);
                 if self.options.uses(Mechanism::NextStepAdvice) {
-                    self.ask_for_next_steps(task.step, now);
+                    self.request_advice_for_next_steps(task.step, now);
                 }
             }
             Change::None | Change::Waiting => {}
@@ -77,7 +77,7 @@
             self.forget_advice(step);
         }
         for worker in self.reservations.release_job(key) {
-            self.news.free(&worker);
+            self.news.mark_worker_freed(&worker);
         }
     }
 
--- a/lilacpass-lead/src/holds.rs
+++ b/lilacpass-lead/src/holds.rs
@@ -32,7 +32,7 @@
         result: Result<PollResponse, CallError>,
         now: Now,
     ) {
-        let retry_ms = self.options.look_retry_ms;
+        let retry_ms = self.options.poll_retry_ms;
         let Some(worker) = self.workers.get_mut(name) else { return };
         if extra {
             worker.extra_look = false;
@@ -81,10 +81,10 @@
         let first = !worker.commanded;
         let was_open = worker.is_open();
         if first || worker.failed_looks > 0 || worker.suspected_until_ms > now.steady_ms {
-            self.news.free(name);
+            self.news.mark_worker_freed(name);
         }
         // The look may have been answered before the others went silent.
-        if sent_ms + self.options.avoid_ms > worker.suspected_until_ms {
+        if sent_ms + self.options.worker_avoidance_ms > worker.suspected_until_ms {
             worker.suspected_until_ms = 0;
         }
         worker.heard_ms = now.steady_ms;
@@ -107,7 +107,7 @@
             worker.draining = true;
         }
         if worker.is_open() != was_open {
-            self.rooms.note(worker);
+            self.rooms.update(worker);
         }
         let whole = answer.ends.len() < ENDS_PAGE;
         let mut listed: Vec<RunKey> =
@@ -125,8 +125,8 @@
     /// Ends of other tasks are heard of by it all the same, where the store takes long to note the first.
     fn pause_looks_until_noted(&mut self, name: &WorkerName, now: Now) {
         let per_worker_ms = self.workers.len() as u64 * 1_000 / UNNOTED_LOOKS_A_SECOND;
-        let longest_ms = self.options.look_stuck_ms;
-        let pause_ms = per_worker_ms.clamp(self.options.look_unnoted_ms, longest_ms);
+        let longest_ms = self.options.poll_unrecorded_max_ms;
+        let pause_ms = per_worker_ms.clamp(self.options.poll_unrecorded_min_ms, longest_ms);
         let Some(worker) = self.workers.get_mut(name) else { return };
         if worker.seen_upto > worker.noted_upto && worker.look != Look::UnderWay {
             worker.look = Look::Due { at_ms: now.steady_ms + pause_ms };
@@ -215,7 +215,7 @@
         let Some(worker) = self.workers.get_mut(name) else { return };
         log::warn!(task:% = key.0, run = key.1, worker:% = name; "stray run");
         worker.give(key, need, Phase::Running { since_ms: now.steady_ms });
-        self.rooms.note(worker);
+        self.rooms.update(worker);
         self.stop_run(name, key, now);
     }
 
@@ -343,7 +343,7 @@
 
     /// Data centres of which a worker has just answered.
     fn answering_data_centres(&self, now: Now) -> BTreeSet<String> {
-        let heard_from_ms = now.steady_ms.saturating_sub(2 * self.options.look_wait_ms);
+        let heard_from_ms = now.steady_ms.saturating_sub(2 * self.options.poll_wait_ms);
         self.workers
             .values()
             .filter(|worker| worker.commanded && worker.failed_looks == 0)
@@ -356,10 +356,10 @@
     pub(crate) fn plan_looks(&mut self, now: Now) {
         let may_extend = self.may_extend(now);
         let options = &self.options;
-        let (look_wait_ms, answer_ms) = if self.loss.is_lossy(now.steady_ms) {
-            (options.look_wait_lossy_ms, options.look_answer_lossy_ms)
+        let (poll_wait_ms, answer_ms) = if self.loss.is_lossy(now.steady_ms) {
+            (options.poll_wait_lossy_ms, options.poll_answer_lossy_ms)
         } else {
-            (options.look_wait_ms, options.look_answer_ms)
+            (options.poll_wait_ms, options.poll_answer_ms)
         };
         let due: Vec<WorkerName> = self.looks_due.iter().cloned().collect();
         for name in due {
@@ -378,7 +378,7 @@
                 if worker.draining { options.draining_lease_ms } else { options.lease_ms };
             let lease_until_ms =
                 if extend { worker.extend_lease(lease_ms, now.steady_ms) } else { None };
-            let wait_ms = if worker.commanded && !unnoted { look_wait_ms } else { 0 };
+            let wait_ms = if worker.commanded && !unnoted { poll_wait_ms } else { 0 };
             worker.look = Look::UnderWay;
             self.looks_due.remove(&name);
             self.effects.push(Effect::Poll {
@@ -406,7 +406,7 @@
             lease_until_ms: None,
             forget_up_to: worker.noted_upto,
             wait_ms: 0,
-            answer_ms: self.options.look_answer_ms,
+            answer_ms: self.options.poll_answer_ms,
             extra: true,
         });
     }
--- a/lilacpass-lead/src/hosts.rs
+++ b/lilacpass-lead/src/hosts.rs
@@ -21,7 +21,7 @@
     pub(crate) clean: bool,
     pub(crate) rack: String,
     pub(crate) score: place::Score,
-    pub(crate) may_take: u64,
+    pub(crate) remaining_task_limit: u64,
 }
 
 impl Host {
@@ -30,7 +30,7 @@
         self.room = self.room.minus(need);
         self.score.used_accelerators += need.accelerators.0;
         self.score.free_share = place::free_share(&self.room, &self.capacity);
-        self.may_take -= 1;
+        self.remaining_task_limit -= 1;
     }
 }
 
@@ -66,7 +66,7 @@
     let need = place::need(plan);
     let mut rooms: BTreeMap<String, u64> = BTreeMap::new();
     for host in hosts.iter() {
-        let most = host.may_take.min(count as u64);
+        let most = host.remaining_task_limit.min(count as u64);
         *rooms.entry(host.rack.clone()).or_default() += place::fits(&host.room, &need, most);
     }
     let best = rooms.into_iter().max_by_key(|(_, room)| *room);
@@ -87,7 +87,7 @@
     let need = place::need(plan);
     let mut picks = Vec::new();
     while picks.len() < count {
-        let able = |host: &&mut Host| host.may_take > 0 && need.fits(&host.room);
+        let able = |host: &&mut Host| host.remaining_task_limit > 0 && need.fits(&host.room);
         let best = if chooser.placement == Placement::Suited {
             hosts.iter_mut().filter(able).max_by_key(|host| (host.clean, host.score))
         } else {
--- a/lilacpass-lead/src/leader.rs
+++ b/lilacpass-lead/src/leader.rs
@@ -12,20 +12,20 @@
 
 use crate::{
     advice::{Lanes, StepAdvice},
-    askers::Askers,
+    advice_queue::AdviceQueue,
+    capacity_index::CapacityIndex,
     event::{Effect, Event, Now, Registration},
     loss::LossMeter,
-    news::News,
     options::{self, Mechanism, Options},
     outbox::Outbox,
+    pending_changes::PendingChanges,
     place,
     pressure::Pressure,
-    reserve::Reservations,
-    rooms::Rooms,
+    reservations::Reservations,
+    scan::Scan,
     silences::Silences,
     tally::Tally,
-    turn::Turn,
-    waiting::Waiting,
+    waiting::WaitingSteps,
     worker::{Look, Phase, Worker},
 };
 
@@ -104,21 +104,21 @@
     pub(crate) options: Options,
     pub(crate) jobs: HashMap<JobKey, Entry>,
     pub(crate) workers: BTreeMap<WorkerName, Worker>,
-    pub(crate) rooms: Rooms,
+    pub(crate) rooms: CapacityIndex,
     pub(crate) outbox: Outbox,
     pub(crate) advice: HashMap<StepName, StepAdvice>,
     pub(crate) lanes: Lanes,
-    pub(crate) waiting: Waiting,
-    pub(crate) askers: Askers,
+    pub(crate) waiting: WaitingSteps,
+    pub(crate) askers: AdviceQueue,
     /// The steps that are allowed on each worker, as far as advice has told.
     pub(crate) allowed_steps: HashMap<WorkerName, BTreeSet<StepName>>,
     pub(crate) reservations: Reservations,
     /// Steps for which room was looked for by preemption in this round.
     pub(crate) tries_for_room: u32,
     pub(crate) work: Work,
-    pub(crate) turn: Turn,
+    pub(crate) turn: Scan,
     pub(crate) pressure: Pressure,
-    pub(crate) news: News,
+    pub(crate) news: PendingChanges,
     pub(crate) loss: LossMeter,
     pub(crate) silences: Silences,
     /// The worker that was last to register anew at each address.
@@ -165,25 +165,26 @@
 impl Leader {
     /// A leader that has just taken over, with the jobs that are stored.
     pub fn new(options: Options, jobs: Vec<Job>, now: Now) -> Self {
-        let last_lease_ms = options::longest_lease_ms(options.lease_ms, options.outlive_ms);
-        let inherited_until_ms = now.steady_ms + options.outlive_ms + last_lease_ms;
+        let last_lease_ms =
+            options::longest_lease_ms(options.lease_ms, options.unconfirmed_lease_ms);
+        let inherited_until_ms = now.steady_ms + options.unconfirmed_lease_ms + last_lease_ms;
         let mut leader = Self {
             options,
             jobs: HashMap::new(),
             workers: BTreeMap::new(),
-            rooms: Rooms::default(),
+            rooms: CapacityIndex::default(),
             outbox: Outbox::default(),
             advice: HashMap::new(),
             lanes: Lanes::default(),
-            waiting: Waiting::default(),
-            askers: Askers::default(),
+            waiting: WaitingSteps::default(),
+            askers: AdviceQueue::default(),
             allowed_steps: HashMap::new(),
             reservations: Reservations::default(),
             tries_for_room: 0,
             work: Work::default(),
-            turn: Turn::default(),
+            turn: Scan::default(),
             pressure: Pressure::new(now),
-            news: News::default(),
+            news: PendingChanges::default(),
             loss: LossMeter::default(),
             silences: Silences::default(),
             by_address: HashMap::new(),
@@ -226,7 +227,7 @@
             if job.is_suspected(task) {
                 worker.go_on_with_trial((task, run.number));
             }
-            self.rooms.note(worker);
+            self.rooms.update(worker);
         }
         if job.outcome == Outcome::Open && job.is_struck() {
             self.struck.insert(key);
@@ -242,11 +243,11 @@
     /// Takes in an event. Effects are collected until [`Leader::finish`].
     pub fn handle(&mut self, event: Event, now: Now) {
         match event {
-            Event::Request { request_id, request } => self.on_asked(request_id, request, now),
+            Event::Request { request_id, request } => self.on_request(request_id, request, now),
             Event::Appended => self.on_appended(now),
             Event::NotAppended => {
                 self.outbox.refused(now.steady_ms);
-                self.refuse_stuck_jobs(now);
+                self.refuse_unstored_jobs(now);
             }
             Event::LeadershipConfirmed { sent_ms } => {
                 self.confirmed_ms = self.confirmed_ms.max(sent_ms)
@@ -261,7 +262,7 @@
                 self.on_stopped(&worker, task, run, result, now);
             }
             Event::AdviceReceived { lane, step, asked, advice } => {
-                self.on_advised(&lane, step, &asked, advice, now);
+                self.on_advice_received(&lane, step, &asked, advice, now);
             }
             Event::WorkerRegistered(entry) => self.on_listed(entry),
             Event::WorkerUnregistered(name) => self.on_unlisted(&name),
@@ -305,7 +306,7 @@
     /// Whether leases may be extended: only so long after the last confirmation, because a
     /// successor that can't reach a worker waits just this long before it starts its work again.
     pub(crate) fn may_extend(&self, now: Now) -> bool {
-        now.steady_ms.saturating_sub(self.confirmed_ms) < self.options.outlive_ms
+        now.steady_ms.saturating_sub(self.confirmed_ms) < self.options.unconfirmed_lease_ms
     }
 
     /// How long the store has owed the answer to an append.
@@ -323,19 +324,19 @@
             .or_insert_with(|| Worker::new(entry.clone(), until_ms));
         worker.listed = true;
         worker.draining |= entry.draining;
-        self.news.free(&entry.name);
+        self.news.mark_worker_freed(&entry.name);
         if worker.look != Look::UnderWay {
             self.looks_due.insert(entry.name.clone());
         }
         worker.most_capacity = worker.most_capacity.max(&entry.capacity);
         worker.entry = entry;
-        self.rooms.note(worker);
+        self.rooms.update(worker);
     }
 
     fn on_unlisted(&mut self, name: &WorkerName) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.listed = false;
-            self.rooms.note(worker);
+            self.rooms.update(worker);
         }
     }
 
@@ -364,7 +365,7 @@
             }
             self.review_pools();
         }
-        self.refuse_stuck_jobs(now);
+        self.refuse_unstored_jobs(now);
         if now.steady_ms >= self.next_cleanup_ms {
             self.next_cleanup_ms = now.steady_ms + CLEANUP_INTERVAL_MS;
             self.forget_old_jobs(now);
@@ -373,12 +374,12 @@
 
     /// Judges whether the leader keeps up.
     fn note_pressure(&mut self, now: Now) {
-        let turn_ms = self.turn.lasts_ms(now);
+        let turn_ms = self.turn.duration_ms(now);
         let Some(level) = self.pressure.tick(turn_ms, self.work.tries, now) else { return };
         log::info!(
             leader = level.as_str(), behind_ms = self.pressure.behind_ms(),
-            tries_a_round = self.pressure.tries_a_round(), waiting = self.waiting.len(),
-            unseen = self.news.unseen();
+            tries_a_round = self.pressure.max_steps_per_round(), waiting = self.waiting.len(),
+            unseen = self.news.changed_steps();
             "pressure changes"
         );
     }
--- a/lilacpass-lead/src/lib.rs
+++ b/lilacpass-lead/src/lib.rs
@@ -12,12 +12,12 @@
 //! [`Leader::handle`] takes an [`event::Event`] and the present time and returns
 //! [`event::Effect`]s to carry out.
 
+pub mod advance_reservations;
 pub mod advice;
-pub mod ahead;
-pub mod askers;
-pub mod asking;
-pub mod asks;
+pub mod advice_queue;
+pub mod advice_requests;
 pub mod candidates;
+pub mod capacity_index;
 mod crashes;
 pub mod ends;
 pub mod event;
@@ -27,9 +27,9 @@
 pub mod inspect;
 pub mod leader;
 pub mod loss;
-pub mod news;
 pub mod options;
 pub mod outbox;
+pub mod pending_changes;
 pub mod place;
 pub mod preempt;
 pub mod pressure;
@@ -37,16 +37,16 @@
 pub mod rank;
 pub mod recording;
 pub mod reindex;
-pub mod reserve;
-pub mod rooms;
+pub mod requests;
+pub mod reservations;
 pub mod rounds;
+pub mod scan;
 pub mod schedule;
 pub mod silences;
 pub mod starts;
 mod suspicion;
 pub mod tally;
 mod trials;
-pub mod turn;
 pub mod waiting;
 pub mod worker;
 
--- a/lilacpass-lead/src/options.rs
+++ b/lilacpass-lead/src/options.rs
@@ -14,35 +14,35 @@
     pub draining_lease_ms: u64,
     /// How long a leader goes on extending leases after the store last confirmed that it leads. The
     /// store may be down for that long before accepted work ends.
-    pub outlive_ms: u64,
+    pub unconfirmed_lease_ms: u64,
     /// How long a worker may wait with its answer to a look until something ends there. Half of
     /// what the lease has left after the longest wait must be enough for the next look.
-    pub look_wait_ms: u64,
+    pub poll_wait_ms: u64,
     /// The same while answers get lost: a lost one hides the end of a task for this long and
     /// `look_answer_lossy_ms`.
-    pub look_wait_lossy_ms: u64,
+    pub poll_wait_lossy_ms: u64,
     /// How long the answer to a look may take beyond its wait. Sound workers answer within 5 ms; a slow
     /// link or a busy instance adds tens, a slow instance some hundreds.
-    pub look_answer_ms: u64,
+    pub poll_answer_ms: u64,
     /// The same while answers get lost.
-    pub look_answer_lossy_ms: u64,
+    pub poll_answer_lossy_ms: u64,
     /// Pause after a look that failed, before the next.
-    pub look_retry_ms: u64,
+    pub poll_retry_ms: u64,
     /// Shortest pause between looks at a worker whose ends are not recorded yet. A look brings the ends of
     /// other tasks; an ordinary append takes 8 ms, a slow one 0.7 s.
-    pub look_unnoted_ms: u64,
+    pub poll_unrecorded_min_ms: u64,
     /// The longest, for cells with many workers.
-    pub look_stuck_ms: u64,
+    pub poll_unrecorded_max_ms: u64,
     /// Pause before a stop that got no answer is sent again.
     pub stop_retry_ms: u64,
     /// How long nothing is started on a worker that has just refused or not answered.
-    pub avoid_ms: u64,
+    pub worker_avoidance_ms: u64,
     /// How long the store may refuse everything until jobs that wait for it are refused. A caller that
     /// returns after a second is served sooner than one that waits for the end of an outage.
-    pub store_patience_ms: u64,
+    pub store_refusal_limit_ms: u64,
     /// The same while the store has not answered at all: a slow one takes up to 0.6 s for an append,
     /// and twice that for one that waits for another.
-    pub store_silence_ms: u64,
+    pub store_unresponsive_limit_ms: u64,
     /// How long an ended job can still be asked for.
     pub retention_ms: u64,
     /// How long a worker that lives can be unregistered while it reaches the store: entries that
@@ -102,7 +102,7 @@
     /// Work that saves its progress makes way for more urgent work.
     Preemption,
     /// Room is kept ahead for what has waited longest.
-    RoomAhead,
+    AdvanceReservations,
     /// Advice for the next step is asked for while a step ends.
     NextStepAdvice,
     /// Workers that spoil their work get none for a while.
@@ -117,7 +117,7 @@
     /// All mechanisms.
     pub const ALL: [Self; 6] = [
         Self::Preemption,
-        Self::RoomAhead,
+        Self::AdvanceReservations,
         Self::NextStepAdvice,
         Self::Quarantine,
         Self::Replacement,
@@ -128,7 +128,7 @@
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Preemption => "preemption",
-            Self::RoomAhead => "room-ahead",
+            Self::AdvanceReservations => "room-ahead",
             Self::NextStepAdvice => "next-step-advice",
             Self::Quarantine => "quarantine",
             Self::Replacement => "replacement",
@@ -165,18 +165,18 @@
         Self {
             lease_ms: 5_000,
             draining_lease_ms: 2_000,
-            outlive_ms: 7_000,
-            look_wait_ms: 800,
-            look_wait_lossy_ms: 300,
-            look_answer_ms: 400,
-            look_answer_lossy_ms: 200,
-            look_retry_ms: 250,
-            look_unnoted_ms: 100,
-            look_stuck_ms: 400,
+            unconfirmed_lease_ms: 7_000,
+            poll_wait_ms: 800,
+            poll_wait_lossy_ms: 300,
+            poll_answer_ms: 400,
+            poll_answer_lossy_ms: 200,
+            poll_retry_ms: 250,
+            poll_unrecorded_min_ms: 100,
+            poll_unrecorded_max_ms: 400,
             stop_retry_ms: 400,
-            avoid_ms: 1_000,
-            store_patience_ms: 700,
-            store_silence_ms: 1_500,
+            worker_avoidance_ms: 1_000,
+            store_refusal_limit_ms: 700,
+            store_unresponsive_limit_ms: 1_500,
             retention_ms: 150_000,
             registration_ms: 2_500,
             ticket_margin_ms: 150,
--- a/lilacpass-lead/src/news.rs
+++ b/lilacpass-lead/src/pending_changes.rs
@@ -15,7 +15,7 @@
 
 /// What is noted between rounds.
 #[derive(Debug, Default)]
-pub struct News {
+pub struct PendingChanges {
     freed: BTreeSet<WorkerName>,
     changed: BTreeSet<StepName>,
     next_all_ms: u64,
@@ -23,7 +23,7 @@
 
 /// What one round looks at.
 #[derive(Debug, Default)]
-pub struct Digest {
+pub struct RoundScope {
     /// Everything.
     pub all: bool,
     /// Workers that have more room, or take starts again.
@@ -32,30 +32,30 @@
     pub changed: BTreeSet<StepName>,
 }
 
-impl News {
+impl PendingChanges {
     /// A worker has more room, or takes starts again.
-    pub fn free(&mut self, worker: &WorkerName) {
+    pub fn mark_worker_freed(&mut self, worker: &WorkerName) {
         self.freed.insert(worker.clone());
     }
 
     /// A step has more tasks to start, or new advice.
-    pub fn change(&mut self, step: StepName) {
+    pub fn mark_step_changed(&mut self, step: StepName) {
         self.changed.insert(step);
     }
 
     /// How many steps have changed that no round has looked at since.
-    pub fn unseen(&self) -> usize {
+    pub fn changed_steps(&self) -> usize {
         self.changed.len()
     }
 
     /// Takes what the round at `now_ms` looks at.
-    pub fn take(&mut self, now_ms: u64) -> Digest {
+    pub fn take(&mut self, now_ms: u64) -> RoundScope {
         let all = now_ms >= self.next_all_ms;
         if all {
             self.next_all_ms = now_ms + ALL_INTERVAL_MS;
         }
         let freed = mem::take(&mut self.freed);
         let changed = mem::take(&mut self.changed);
-        Digest { all, freed, changed }
+        RoundScope { all, freed, changed }
     }
 }
--- a/lilacpass-lead/src/preempt.rs
+++ b/lilacpass-lead/src/preempt.rs
@@ -13,7 +13,7 @@
     leader::Leader,
     place,
     rank::Rank,
-    reserve::Share,
+    reservations::Share,
     worker::{Given, Phase, RunKey, Worker},
 };
 
@@ -41,15 +41,17 @@
     }
 
     /// The room that a step with this rank would find on a worker if work that can wait were stopped.
-    pub(crate) fn possible_room(&self, rank: &Rank, worker: &Worker) -> Resources {
+    pub(crate) fn capacity_with_preemption(&self, rank: &Rank, worker: &Worker) -> Resources {
         let victims = self.victims(worker, rank.priority);
         let freed = victims.iter().fold(Resources::ZERO, |sum, (_, need)| sum.plus(need));
-        worker.room_after(&freed).minus(&self.reservations.kept_from(rank, &worker.entry.name))
+        worker
+            .room_after(&freed)
+            .minus(&self.reservations.reserved_before(rank, &worker.entry.name))
     }
 
     /// Stops work of less urgent queues where tasks of a step may start, if that gives room to tasks of it
     /// (to all that wait, for a gang), and keeps that room for them.
-    pub(crate) fn make_room(
+    pub(crate) fn preempt_for(
         &mut self,
         name: StepName,
         plan: &v1::WorkStep,
@@ -100,8 +102,8 @@
     ) -> Vec<Offer> {
         let need = place::need(plan);
         let offer = |worker: &&Worker| {
-            let most = waiting.min(self.may_take(worker, name, plan));
-            let kept = self.reservations.kept_from(rank, &worker.entry.name);
+            let most = waiting.min(self.remaining_task_limit(worker, name, plan));
+            let kept = self.reservations.reserved_before(rank, &worker.entry.name);
             let fits = |freed: &Resources| {
                 place::fits(&worker.room_after(freed).minus(&kept), &need, most)
             };
--- a/lilacpass-lead/src/pressure.rs
+++ b/lilacpass-lead/src/pressure.rs
@@ -8,7 +8,7 @@
 //! steps takes (`turn.rs`), and how many steps have changed that it has not looked at since. The last two do not
 //! count what waits for room: where there is no room, looking at a step once changes nothing.
 
-use crate::{asks, event::Now};
+use crate::{event::Now, requests};
 
 /// Time between two ticks of a leader that keeps up.
 const TICK_MS: u64 = 50;
@@ -174,24 +174,24 @@
     }
 
     /// Steps that a round may look at.
-    pub fn tries_a_round(&self) -> u64 {
+    pub fn max_steps_per_round(&self) -> u64 {
         self.tries
     }
 
     /// A round could not look at all it had to.
-    pub fn cut(&mut self) {
+    pub fn record_cut_round(&mut self) {
         self.was_cut = true;
     }
 
     /// Whether a new job is to be refused, where so many steps have changed that were not looked at since; and
     /// if so, when its caller may come back, in ms.
-    pub fn refuses(&mut self, unseen: usize, now: Now) -> Option<u32> {
+    pub fn check_refusal(&mut self, unseen: usize, now: Now) -> Option<u32> {
         let is_full = unseen as u64 >= self.most_unseen();
         if !self.is_refusing && !is_full {
             return None;
         }
         self.refused_ms = Some(now.steady_ms);
-        Some(asks::retry_after_ms(self.behind_ms()))
+        Some(requests::retry_after_ms(self.behind_ms()))
     }
 
     /// How many steps may have changed and not been looked at since.
--- a/lilacpass-lead/src/recording.rs
+++ b/lilacpass-lead/src/recording.rs
@@ -14,7 +14,7 @@
         self.confirmed_ms = self.confirmed_ms.max(self.append_sent_ms);
         for after in self.outbox.stored() {
             match after {
-                After::Accept(request_id, key) => self.accept(request_id, key),
+                After::Accept(request_id, key) => self.confirm_submission(request_id, key),
                 After::Reply(request_id, response) => {
                     self.effects.push(Effect::Reply { request_id, response })
                 }
--- a/lilacpass-lead/src/reindex.rs
+++ b/lilacpass-lead/src/reindex.rs
@@ -9,7 +9,7 @@
     event::Now,
     leader::{Entry, Leader},
     rank,
-    waiting::Sort,
+    waiting::StepKind,
 };
 
 impl Leader {
@@ -38,18 +38,18 @@
         for name in job.step_names() {
             if !may_differ(name) {
                 if self.waiting.rank_of(name).is_some() {
-                    self.news.change(name);
+                    self.news.mark_step_changed(name);
                 }
                 continue;
             }
             let waits = waits(entry, name);
             if waits && job.step_may_start(name, now.unix_ms) {
-                let sort = Sort::of(job.step_plan(name.step), job.queue.advice.is_some());
+                let sort = StepKind::of(job.step_plan(name.step), job.queue.advice.is_some());
                 if self.waiting.add(name, sort, now.steady_ms, || rank::of_step(job, name)) {
                     // It asks from the next round on.
-                    self.askers.pause(name, now.steady_ms);
+                    self.askers.delay(name, now.steady_ms);
                 }
-                self.news.change(name);
+                self.news.mark_step_changed(name);
                 continue;
             }
             if self.waiting.remove(name) {
--- a/lilacpass-lead/src/asks.rs
+++ b/lilacpass-lead/src/requests.rs
@@ -23,7 +23,7 @@
 }
 
 impl Leader {
-    pub(crate) fn on_asked(&mut self, request_id: RequestId, request: Request, now: Now) {
+    pub(crate) fn on_request(&mut self, request_id: RequestId, request: Request, now: Now) {
         match request {
             Request::Submit { job, plan, queue } => self.submit(request_id, job, plan, queue, now),
             Request::State(job) => self.tell_state(request_id, job, now),
@@ -77,7 +77,7 @@
     }
 
     /// A job is stored: its caller may be told.
-    pub(crate) fn accept(&mut self, request_id: RequestId, key: JobKey) {
+    pub(crate) fn confirm_submission(&mut self, request_id: RequestId, key: JobKey) {
         if let Some(entry) = self.jobs.get_mut(&key) {
             entry.stored = true;
         }
@@ -99,7 +99,7 @@
         if !self.is_sure(now) {
             return None;
         }
-        self.pressure.refuses(self.news.unseen(), now)
+        self.pressure.check_refusal(self.news.changed_steps(), now)
     }
 
     /// Refuses a job that nothing was done of.
@@ -113,16 +113,16 @@
     fn store_takes_nothing(&self, now: Now) -> bool {
         let options = &self.options;
         let patience_ms = if self.outbox.is_refused() {
-            options.store_patience_ms
+            options.store_refusal_limit_ms
         } else {
-            options.store_silence_ms
+            options.store_unresponsive_limit_ms
         };
         self.outbox.stuck_ms(now.steady_ms) > patience_ms
     }
 
     /// Refuses the jobs that wait for a store that takes nothing. Those that are part of an append
     /// without an answer stay: they may be stored.
-    pub(crate) fn refuse_stuck_jobs(&mut self, now: Now) {
+    pub(crate) fn refuse_unstored_jobs(&mut self, now: Now) {
         if !self.store_takes_nothing(now) {
             return;
         }
--- a/lilacpass-lead/src/reserve.rs
+++ b/lilacpass-lead/src/reservations.rs
@@ -29,7 +29,7 @@
     workers: Vec<WorkerName>,
     until_ms: u64,
     /// The pool whose room is kept ahead; none where the room is there, or is being made.
-    ahead_in: Option<String>,
+    advance_in: Option<String>,
 }
 
 impl Reservations {
@@ -43,15 +43,15 @@
     fn book(&mut self, rank: Rank, as_if: Rank, shares: Vec<Share>, until_ms: u64) {
         self.release(rank.step);
         let workers = shares.iter().map(|(worker, _)| worker.clone()).collect();
-        self.by_step.insert(rank.step, Booking { workers, until_ms, ahead_in: None });
+        self.by_step.insert(rank.step, Booking { workers, until_ms, advance_in: None });
         for (worker, room) in shares {
             self.by_worker.entry(worker).or_default().push((as_if, room));
         }
     }
 
     /// The steps for which room is kept ahead, by name.
-    pub fn steps_ahead(&self) -> Vec<StepName> {
-        let ahead = self.by_step.iter().filter(|(_, booking)| booking.ahead_in.is_some());
+    pub fn steps_with_advance(&self) -> Vec<StepName> {
+        let ahead = self.by_step.iter().filter(|(_, booking)| booking.advance_in.is_some());
         let mut steps: Vec<StepName> = ahead.map(|(step, _)| *step).collect();
         steps.sort_unstable();
         steps
@@ -59,16 +59,16 @@
 
     /// Reserves room that has yet to fall free on workers of a pool, against all that is not more urgent.
     /// Otherwise steps of the same priority that come earlier in order would take it again and again.
-    pub fn set_ahead(&mut self, rank: Rank, shares: Vec<Share>, until_ms: u64, service: &str) {
+    pub fn set_advance(&mut self, rank: Rank, shares: Vec<Share>, until_ms: u64, service: &str) {
         self.book(rank, rank.first_of_priority(), shares, until_ms);
         if let Some(booking) = self.by_step.get_mut(&rank.step) {
-            booking.ahead_in = Some(service.to_owned());
+            booking.advance_in = Some(service.to_owned());
         }
     }
 
     /// How many steps have room kept ahead in a pool.
-    pub fn ahead(&self, service: &str) -> usize {
-        let is_there = |booking: &&Booking| booking.ahead_in.as_deref() == Some(service);
+    pub fn advance_count(&self, service: &str) -> usize {
+        let is_there = |booking: &&Booking| booking.advance_in.as_deref() == Some(service);
         self.by_step.values().filter(is_there).count()
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// A task of a step has been given room on a worker: that much less is kept there.
-    pub fn used(&mut self, step: StepName, worker: &WorkerName, need: &Resources) {
+    pub fn consume(&mut self, step: StepName, worker: &WorkerName, need: &Resources) {
         let Some(shares) = self.by_worker.get_mut(worker) else { return };
         for (rank, room) in shares.iter_mut() {
             if rank.step == step {
@@ -124,7 +124,7 @@
     }
 
     /// What is reserved on a worker for steps that come before `rank`.
-    pub fn kept_from(&self, rank: &Rank, worker: &WorkerName) -> Resources {
+    pub fn reserved_before(&self, rank: &Rank, worker: &WorkerName) -> Resources {
         if self.by_worker.is_empty() {
             return Resources::ZERO;
         }
--- a/lilacpass-lead/src/rounds.rs
+++ b/lilacpass-lead/src/rounds.rs
@@ -2,7 +2,7 @@
 
 use lilacpass_jobs::StepName;
 
-use crate::{event::Now, leader::Leader, news::Digest, rank::Rank, schedule::Scope};
+use crate::{event::Now, leader::Leader, pending_changes::RoundScope, rank::Rank, schedule::Scope};
 
 /// Part of a round for the steps that are first in order; the other is for those whose turn it is.
 const FIRST_IN: u64 = 2;
@@ -16,9 +16,9 @@
     }
 
     /// A round has looked at all it may before this step: the others get their turns in the next ones.
-    pub(crate) fn cut_round(&mut self, before: Rank, news: Digest, now: Now) {
-        self.pressure.cut();
-        self.turn.begin(self.waiting.before(before), now);
+    pub(crate) fn end_round_early(&mut self, before: Rank, news: RoundScope, now: Now) {
+        self.pressure.record_cut_round();
+        self.turn.start(self.waiting.before(before), now);
         self.keep_unseen(news);
     }
 
@@ -26,8 +26,8 @@
     ///
     /// First come those that changed or have new room, as far as half of the round goes: by their order they are to
     /// get room before others. The turn looks at everything, so that nothing that a round left out is lost.
-    pub(crate) fn schedule_in_turns(&mut self, mut news: Digest, now: Now) {
-        let most = self.pressure.tries_a_round();
+    pub(crate) fn schedule_by_scan(&mut self, mut news: RoundScope, now: Now) {
+        let most = self.pressure.max_steps_per_round();
         // The turn is what looks at everything.
         news.all = false;
         let first = self.place_first(&mut news, most / FIRST_IN, now);
@@ -40,14 +40,14 @@
         self.ask_about(&next, u64::MAX, now);
         self.keep_unseen(news);
         if self.turn.is_under_way() {
-            self.pressure.cut();
+            self.pressure.record_cut_round();
         } else {
-            self.keep_room_ahead(now);
+            self.make_advance_reservations(now);
         }
     }
 
     /// Places tasks of steps that changed or have new room, in order, until `most` were looked at.
-    fn place_first(&mut self, news: &mut Digest, most: u64, now: Now) -> Vec<StepName> {
+    fn place_first(&mut self, news: &mut RoundScope, most: u64, now: Now) -> Vec<StepName> {
         let end = self.work.tries + most;
         let mut looked_at = Vec::new();
         for (rank, scope) in self.due(news) {
@@ -68,18 +68,18 @@
     fn ask_about(&mut self, steps: &[StepName], most: u64, now: Now) {
         let end = self.work.tries.saturating_add(most);
         for step in steps {
-            if self.work.tries >= end || !self.lanes.any_idle() {
+            if self.work.tries >= end || !self.lanes.has_idle() {
                 return;
             }
-            self.ask_advice(*step, now);
+            self.request_advice(*step, now);
         }
     }
 
     /// Keeps the steps that changed and were not looked at for the next round.
-    fn keep_unseen(&mut self, news: Digest) {
+    fn keep_unseen(&mut self, news: RoundScope) {
         for step in news.changed {
             if self.waiting.rank_of(step).is_some() {
-                self.news.change(step);
+                self.news.mark_step_changed(step);
             }
         }
     }
--- a/lilacpass-lead/src/turn.rs
+++ b/lilacpass-lead/src/scan.rs
@@ -4,48 +4,48 @@
 
 use lilacpass_jobs::StepName;
 
-use crate::{event::Now, rank::Rank, waiting::Waiting};
+use crate::{event::Now, rank::Rank, waiting::WaitingSteps};
 
 /// A walk over all waiting steps in order, over several rounds.
 #[derive(Debug, Default)]
-pub struct Turn {
-    began_ms: Option<u64>,
+pub struct Scan {
+    started_ms: Option<u64>,
     /// The step that was reached.
-    upto: Option<Rank>,
+    position: Option<Rank>,
     last_took_ms: u64,
 }
 
-impl Turn {
+impl Scan {
     /// Whether steps have not had their turn yet.
     pub fn is_under_way(&self) -> bool {
-        self.began_ms.is_some()
+        self.started_ms.is_some()
     }
 
     /// Begins after a step; from the first where there is none.
-    pub fn begin(&mut self, after: Option<Rank>, now: Now) {
-        self.began_ms = Some(now.steady_ms);
-        self.upto = after;
+    pub fn start(&mut self, after: Option<Rank>, now: Now) {
+        self.started_ms = Some(now.steady_ms);
+        self.position = after;
     }
 
     /// The next steps, at most `most`. The walk is over where there are fewer.
-    pub fn next(&mut self, waiting: &Waiting, most: usize, now: Now) -> Vec<StepName> {
-        let ranks = waiting.after(self.upto, most);
+    pub fn next(&mut self, waiting: &WaitingSteps, most: usize, now: Now) -> Vec<StepName> {
+        let ranks = waiting.after(self.position, most);
         if ranks.len() < most {
-            self.last_took_ms = self.lasts_ms(now);
-            self.began_ms = None;
+            self.last_took_ms = self.duration_ms(now);
+            self.started_ms = None;
         }
-        self.upto = ranks.last().copied().or(self.upto);
+        self.position = ranks.last().copied().or(self.position);
         ranks.into_iter().map(|rank| rank.step).collect()
     }
 
     /// All steps were looked at in one round.
-    pub fn not_needed(&mut self) {
+    pub fn reset_duration(&mut self) {
         self.last_took_ms = 0;
     }
 
     /// How long a walk takes: the last one, or the one under way where that has taken longer.
-    pub fn lasts_ms(&self, now: Now) -> u64 {
-        let so_far_ms = self.began_ms.map_or(0, |began_ms| now.steady_ms - began_ms);
+    pub fn duration_ms(&self, now: Now) -> u64 {
+        let so_far_ms = self.started_ms.map_or(0, |started_ms| now.steady_ms - started_ms);
         self.last_took_ms.max(so_far_ms)
     }
 }
--- a/lilacpass-lead/src/schedule.rs
+++ b/lilacpass-lead/src/schedule.rs
@@ -13,9 +13,9 @@
     event::Now,
     hosts::{self, Chooser, Host},
     leader::Leader,
-    news::Digest,
     options::Mechanism,
     outbox::After,
+    pending_changes::RoundScope,
     place,
     rank::Rank,
     worker::{Phase, RunKey, Worker},
@@ -29,23 +29,23 @@
     /// Places waiting tasks and asks for the advice that others need.
     pub(crate) fn schedule(&mut self, now: Now) {
         for worker in self.reservations.expire(now.steady_ms) {
-            self.news.free(&worker);
+            self.news.mark_worker_freed(&worker);
         }
         let mut news = self.news.take(now.steady_ms);
         self.tries_for_room = 0;
-        for step in self.askers.wake(now.steady_ms) {
-            self.review_asker(step, now);
+        for step in self.askers.take_due(now.steady_ms) {
+            self.update_advice_queue(step, now);
         }
-        self.ask_for_kept_room(now);
+        self.request_advice_for_advance_reservations(now);
         if self.turn.is_under_way() {
-            return self.schedule_in_turns(news, now);
+            return self.schedule_by_scan(news, now);
         }
-        let end = self.work.tries + self.pressure.tries_a_round();
+        let end = self.work.tries + self.pressure.max_steps_per_round();
         let mut due = self.due(&news);
         let mut last = None;
         while let Some(rank) = self.next_step(&due, last) {
             if self.work.tries >= end {
-                return self.cut_round(rank, news, now);
+                return self.end_round_early(rank, news, now);
             }
             match due.remove(&rank) {
                 Some(Scope::All) => self.place_step(rank.step, None, now),
@@ -53,19 +53,19 @@
                 None => {}
             }
             news.changed.remove(&rank.step);
-            if self.lanes.any_idle() {
-                self.ask_advice(rank.step, now);
+            if self.lanes.has_idle() {
+                self.request_advice(rank.step, now);
             }
             last = Some(rank);
         }
         if news.all {
-            self.turn.not_needed();
-            self.keep_room_ahead(now);
+            self.turn.reset_duration();
+            self.make_advance_reservations(now);
         }
     }
 
     /// The steps for which workers may have come into question since they were last looked at.
-    pub(crate) fn due(&self, news: &Digest) -> BTreeMap<Rank, Scope> {
+    pub(crate) fn due(&self, news: &RoundScope) -> BTreeMap<Rank, Scope> {
         if news.all {
             return self.waiting.in_order().map(|rank| (rank, Scope::All)).collect();
         }
@@ -75,7 +75,7 @@
             let allowed = news.freed.iter().filter_map(|worker| self.allowed_steps.get(worker));
             let advised = allowed.flatten().filter_map(|step| self.waiting.rank_of_advised(*step));
             due.extend(advised.map(|rank| (rank, Scope::Freed)));
-            due.extend(self.waiting.whole().map(|rank| (rank, Scope::All)));
+            due.extend(self.waiting.combined().map(|rank| (rank, Scope::All)));
         }
         let changed = news.changed.iter().filter_map(|step| self.waiting.rank_of(*step));
         due.extend(changed.map(|rank| (rank, Scope::All)));
@@ -85,7 +85,7 @@
     /// The step after `last` that is due or may ask for advice.
     fn next_step(&self, due: &BTreeMap<Rank, Scope>, last: Option<Rank>) -> Option<Rank> {
         let first = due.first_key_value().map(|(rank, _)| *rank);
-        if !self.lanes.any_idle() {
+        if !self.lanes.has_idle() {
             return first;
         }
         let may_call = |queue: &str, base_ms| self.lanes.may_call(queue, base_ms);
@@ -132,7 +132,7 @@
             let may_preempt = !plan.lasting && self.options.uses(Mechanism::Preemption);
             if may_preempt && self.tries_for_room < MOST_TRIES_FOR_ROOM {
                 self.tries_for_room += 1;
-                self.make_room(name, &plan, wanted, now);
+                self.preempt_for(name, &plan, wanted, now);
             }
         }
         if plan.gang {
@@ -186,7 +186,7 @@
         let could_run = |worker: &&Worker| {
             worker.takes_starts(now.steady_ms) && place::is_eligible(worker, service, plan)
         };
-        let roomy = self.workers_with_room(service, &place::need(plan));
+        let roomy = self.workers_fitting(service, &place::need(plan));
         let home = place::home(roomy.into_iter().filter(could_run), plan);
         if let Some(entry) = self.jobs.get_mut(&name.job) {
             entry.home = home;
@@ -213,11 +213,12 @@
         let need = place::need(plan);
         let Some(rank) = self.waiting.rank_of(name) else { return Vec::new() };
         let is_host = |worker: &&Worker| {
-            need.fits(&self.room_for(&rank, worker)) && self.could_start(worker, name, plan, now)
+            need.fits(&self.free_capacity_for(&rank, worker))
+                && self.could_start(worker, name, plan, now)
         };
         let open_to_all = among.is_none() && entry.job.queue.advice.is_none();
         let workers = if open_to_all {
-            self.workers_with_room(&entry.job.queue.service, &need)
+            self.workers_fitting(&entry.job.queue.service, &need)
         } else {
             self.allowed(name, among, now)
         };
@@ -226,13 +227,13 @@
             .filter(is_host)
             .map(|worker| Host {
                 name: worker.entry.name.clone(),
-                room: self.room_for(&rank, worker),
+                room: self.free_capacity_for(&rank, worker),
                 clean: worker.health.is_clean()
                     && !entry.failed_on.contains_key(&worker.entry.name),
                 rack: worker.rack().to_owned(),
                 score: place::Score::new(worker, plan, home),
                 capacity: worker.entry.capacity,
-                may_take: self.may_take(worker, name, plan),
+                remaining_task_limit: self.remaining_task_limit(worker, name, plan),
             })
             .collect()
     }
@@ -273,8 +274,8 @@
     }
 
     /// The room on a worker that is open to a step with this rank.
-    pub(crate) fn room_for(&self, rank: &Rank, worker: &Worker) -> Resources {
-        worker.room().minus(&self.reservations.kept_from(rank, &worker.entry.name))
+    pub(crate) fn free_capacity_for(&self, rank: &Rank, worker: &Worker) -> Resources {
+        worker.room().minus(&self.reservations.reserved_before(rank, &worker.entry.name))
     }
 
     /// Whether a task of this step and those on the worker would disturb each other: one that fills
@@ -316,7 +317,12 @@
     }
 
     /// How many more tasks of a step a worker may run, by the step's own limit.
-    pub(crate) fn may_take(&self, worker: &Worker, name: StepName, plan: &v1::WorkStep) -> u64 {
+    pub(crate) fn remaining_task_limit(
+        &self,
+        worker: &Worker,
+        name: StepName,
+        plan: &v1::WorkStep,
+    ) -> u64 {
         if plan.max_per_worker == 0 {
             return u64::MAX;
         }
@@ -360,11 +366,11 @@
     /// Records a start; its order follows once that is stored.
     fn record_start(&mut self, task: TaskName, run: u32, name: WorkerName, now: Now) {
         let need = self.need_of(task);
-        self.reservations.used(task.step, &name, &need);
-        self.waiting.note_start(task.step, now.steady_ms);
+        self.reservations.consume(task.step, &name, &need);
+        self.waiting.record_start(task.step, now.steady_ms);
         if let Some(worker) = self.workers.get_mut(&name) {
             worker.give((task, run), need, Phase::Recording);
-            self.rooms.note(worker);
+            self.rooms.update(worker);
         }
         log::info!(task:% = task, run, worker:% = name, need:% = need; "task placed");
         self.outbox.waiting.states.insert(task.step.job);
--- a/lilacpass-lead/src/starts.rs
+++ b/lilacpass-lead/src/starts.rs
@@ -65,7 +65,7 @@
         now: Now,
     ) {
         let key = (task, run);
-        let avoid_ms = self.options.avoid_ms;
+        let avoid_ms = self.options.worker_avoidance_ms;
         if result.is_ok() {
             self.note_begun(task.step.job);
         }
@@ -100,7 +100,7 @@
                     Refusal::Fence => self.effects.push(Effect::Deposed),
                     Refusal::Ticket => {
                         if let Some(advice) = self.advice.get_mut(&task.step) {
-                            advice.drop_ticket(name);
+                            advice.remove_ticket(name);
                         }
                     }
                     Refusal::Old => {}
@@ -128,7 +128,7 @@
         const FEWEST_SILENT: usize = 2;
         let Some(worker) = self.workers.get(name) else { return };
         let data_centre = worker.entry.data_centre.clone();
-        let avoid_ms = self.options.avoid_ms;
+        let avoid_ms = self.options.worker_avoidance_ms;
         let is_near = |worker: &Worker| worker.entry.data_centre == data_centre;
         let is_silent =
             |worker: &Worker| worker.failed_looks > 0 || now.steady_ms < worker.avoid_until_ms;
--- a/lilacpass-lead/src/trials.rs
+++ b/lilacpass-lead/src/trials.rs
@@ -47,7 +47,7 @@
         let need = place::need(plan);
         let mut able: Vec<_> = hosts
             .iter()
-            .filter(|host| host.may_take > 0 && need.fits(&host.room))
+            .filter(|host| host.remaining_task_limit > 0 && need.fits(&host.room))
             .filter_map(|host| Some((host, self.workers.get(&host.name)?)))
             .map(|(host, worker)| {
                 let unclear = worker.runs.values().filter(|given| worker.is_unclear(given)).count();
@@ -83,7 +83,7 @@
         let is_clear = worker.runs.get(&key).is_none_or(|given| !worker.is_unclear(given));
         if is_clear {
             worker.trial = None;
-            self.news.free(name);
+            self.news.mark_worker_freed(name);
         }
     }
 
--- a/lilacpass-lead/src/waiting.rs
+++ b/lilacpass-lead/src/waiting.rs
@@ -12,38 +12,38 @@
 
 /// Steps with tasks that may start.
 #[derive(Debug, Default)]
-pub struct Waiting {
+pub struct WaitingSteps {
     order: BTreeSet<Rank>,
     steps: HashMap<StepName, Place>,
     /// Those of the sorts [`Sort::Plain`] and [`Sort::Whole`].
     plain: BTreeSet<Rank>,
-    whole: BTreeSet<Rank>,
+    combined: BTreeSet<Rank>,
 }
 
 /// A waiting step.
 #[derive(Clone, Copy, Debug)]
 struct Place {
     rank: Rank,
-    sort: Sort,
+    kind: StepKind,
     since_ms: u64,
 }
 
 /// What room that falls free means for a waiting step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sort {
+pub enum StepKind {
     /// It may be used as it is.
     Plain,
     /// It may be used if the step is allowed to run there.
     Advised,
     /// It may complete what the step needs on several workers.
-    Whole,
+    Combined,
 }
 
-impl Sort {
+impl StepKind {
     /// The sort of a step; `is_advised` where its queue needs advice.
     pub fn of(plan: &v1::WorkStep, is_advised: bool) -> Self {
         if plan.gang || plan.one_rack || plan.target_ms > 0 {
-            Self::Whole
+            Self::Combined
         } else if is_advised {
             Self::Advised
         } else {
@@ -52,13 +52,13 @@
     }
 }
 
-impl Waiting {
+impl WaitingSteps {
     /// Adds a step, unless it waits already. `rank` is worked out only then: a job may have thousands of tasks,
     /// and each end brings its steps here. Returns whether the step is new.
     pub fn add(
         &mut self,
         step: StepName,
-        sort: Sort,
+        kind: StepKind,
         now_ms: u64,
         rank: impl FnOnce() -> Rank,
     ) -> bool {
@@ -66,12 +66,12 @@
             return false;
         }
         let rank = rank();
-        self.steps.insert(step, Place { rank, sort, since_ms: now_ms });
+        self.steps.insert(step, Place { rank, kind, since_ms: now_ms });
         self.order.insert(rank);
-        match sort {
-            Sort::Plain => self.plain.insert(rank),
-            Sort::Whole => self.whole.insert(rank),
-            Sort::Advised => true,
+        match kind {
+            StepKind::Plain => self.plain.insert(rank),
+            StepKind::Combined => self.combined.insert(rank),
+            StepKind::Advised => true,
         }
     }
 
@@ -79,12 +79,12 @@
     pub fn remove(&mut self, step: StepName) -> bool {
         let Some(place) = self.steps.remove(&step) else { return false };
         self.plain.remove(&place.rank);
-        self.whole.remove(&place.rank);
+        self.combined.remove(&place.rank);
         self.order.remove(&place.rank)
     }
 
     /// A task of a step was given a run: if others still wait, they wait from now on.
-    pub fn note_start(&mut self, step: StepName, now_ms: u64) {
+    pub fn record_start(&mut self, step: StepName, now_ms: u64) {
         if let Some(place) = self.steps.get_mut(&step) {
             place.since_ms = now_ms;
         }
@@ -98,7 +98,7 @@
     /// The place of a step in the order, if it is [`Sort::Advised`].
     pub fn rank_of_advised(&self, step: StepName) -> Option<Rank> {
         let place = self.steps.get(&step)?;
-        (place.sort == Sort::Advised).then_some(place.rank)
+        (place.kind == StepKind::Advised).then_some(place.rank)
     }
 
     /// All steps, in the order in which they get room.
@@ -112,8 +112,8 @@
     }
 
     /// Steps of the sort [`Sort::Whole`], in order.
-    pub fn whole(&self) -> impl Iterator<Item = Rank> {
-        self.whole.iter().copied()
+    pub fn combined(&self) -> impl Iterator<Item = Rank> {
+        self.combined.iter().copied()
     }
 
     /// The next places in the order after one, at most `most`; from the first where there is none.
@@ -128,7 +128,7 @@
     }
 
     /// Steps that have waited without being given a run since `since_ms` or longer, the longest first.
-    pub fn since(&self, since_ms: u64) -> Vec<StepName> {
+    pub fn waiting_since(&self, since_ms: u64) -> Vec<StepName> {
         let long = self.steps.iter().filter(|(_, place)| place.since_ms <= since_ms);
         let mut steps: Vec<(u64, StepName)> =
             long.map(|(step, place)| (place.since_ms, *step)).collect();
--- a/lilacpass-lead/tests/rooms.rs
+++ b/lilacpass-lead/tests/capacity_index.rs
@@ -5,9 +5,9 @@
 use lilacpass_core::Resources;
 use lilacpass_jobs::{JobKey, StepName, WorkerName};
 use lilacpass_lead::{
+    capacity_index::CapacityIndex,
     event::Registration,
     place,
-    rooms::Rooms,
     worker::{Phase, RunKey, Worker},
 };
 
@@ -55,7 +55,7 @@
 #[test]
 fn the_index_tells_what_the_workers_have() {
     let mut workers = BTreeMap::new();
-    let mut rooms = Rooms::default();
+    let mut rooms = CapacityIndex::default();
     for change in 0..CHANGES {
         let number = change * 7 % WORKERS;
         let name = WorkerName::from(format!("w-{number:02}").as_str());
@@ -71,7 +71,7 @@
             } else if let Some(&first) = changed.runs.keys().next() {
                 changed.take(first);
             }
-            rooms.note(changed);
+            rooms.update(changed);
         }
         let wanted = need(change / 3);
         for service in ["service-0", "service-1"] {
@@ -80,19 +80,24 @@
     }
 }
 
-fn check(workers: &BTreeMap<WorkerName, Worker>, rooms: &Rooms, service: &str, wanted: Resources) {
+fn check(
+    workers: &BTreeMap<WorkerName, Worker>,
+    rooms: &CapacityIndex,
+    service: &str,
+    wanted: Resources,
+) {
     let roomy = with_room(workers, service, wanted);
     let names: Vec<&WorkerName> = roomy.iter().map(|worker| &worker.entry.name).collect();
-    assert_eq!(rooms.with_room(service, &wanted, names.len()), Some(names.clone()));
+    assert_eq!(rooms.fitting(service, &wanted, names.len()), Some(names.clone()));
     if !names.is_empty() {
-        assert_eq!(rooms.with_room(service, &wanted, names.len() - 1), None, "too many");
+        assert_eq!(rooms.fitting(service, &wanted, names.len() - 1), None, "too many");
     }
     for home in [None, Some("south"), Some("nowhere")] {
         let step = Default::default();
         let mut best: Vec<&Worker> = roomy.iter().collect();
         best.sort_by_key(|worker| Reverse(place::Score::new(worker, &step, home)));
         let best: Vec<&WorkerName> = best.iter().map(|worker| &worker.entry.name).collect();
-        let preferred: Vec<&WorkerName> = rooms.preferred(service, home, wanted).collect();
+        let preferred: Vec<&WorkerName> = rooms.by_preference(service, home, wanted).collect();
         assert_eq!(preferred, best, "home {home:?}");
     }
 }
--- a/lilacpass-lead/tests/lanes.rs
+++ b/lilacpass-lead/tests/lanes.rs
@@ -12,7 +12,7 @@
 }
 
 fn take_all(lanes: &mut Lanes, queue: &str, expected_ms: u64) -> Vec<Lane> {
-    std::iter::from_fn(|| lanes.take(queue, expected_ms)).collect()
+    std::iter::from_fn(|| lanes.acquire(queue, expected_ms)).collect()
 }
 
 /// An accepted permit stands still for seven seconds at the end of the day, beside free workers. Sixty face
@@ -23,8 +23,8 @@
     let matches = take_all(&mut lanes, "match", SLOW_MS);
     assert_eq!(matches.len(), 4);
     assert_eq!(take_all(&mut lanes, "permit", SLOW_MS).len(), 2, "of six for slow calls");
-    lanes.give_back(&matches[0]);
-    assert!(lanes.take("match", SLOW_MS).is_some());
+    lanes.release(&matches[0]);
+    assert!(lanes.acquire("match", SLOW_MS).is_some());
 }
 
 #[test]
@@ -39,8 +39,8 @@
 fn a_single_lane_serves_all() {
     let mut lanes = Lanes::default();
     lanes.set(vec![Lane("only".to_owned())]);
-    let lane = lanes.take("match", SLOW_MS).expect("a lane");
-    assert!(lanes.take("permit", SLOW_MS).is_none());
-    lanes.give_back(&lane);
-    assert!(lanes.take("permit", SLOW_MS).is_some());
+    let lane = lanes.acquire("match", SLOW_MS).expect("a lane");
+    assert!(lanes.acquire("permit", SLOW_MS).is_none());
+    lanes.release(&lane);
+    assert!(lanes.acquire("permit", SLOW_MS).is_some());
 }
--- a/lilacpass-lead/tests/news.rs
+++ b/lilacpass-lead/tests/pending_changes.rs
@@ -1,13 +1,13 @@
 //! What one round of placing looks at.
 
 use lilacpass_jobs::{JobKey, StepName, WorkerName};
-use lilacpass_lead::news::News;
+use lilacpass_lead::pending_changes::PendingChanges;
 
 const STEP: StepName = StepName { job: JobKey(7), occurrence: 0, step: 1 };
 
 #[test]
 fn the_first_round_looks_at_everything() {
-    let digest = News::default().take(1_000);
+    let digest = PendingChanges::default().take(1_000);
     assert!(digest.all);
 }
 
@@ -16,11 +16,11 @@
 /// its calls.
 #[test]
 fn a_round_looks_only_at_what_changed_since_the_one_before() {
-    let mut news = News::default();
+    let mut news = PendingChanges::default();
     news.take(1_000);
     let freed = WorkerName::from("w-1");
-    news.free(&freed);
-    news.change(STEP);
+    news.mark_worker_freed(&freed);
+    news.mark_step_changed(STEP);
     let digest = news.take(1_001);
     assert!(!digest.all);
     assert_eq!(digest.freed.iter().collect::<Vec<_>>(), [&freed]);
@@ -33,7 +33,7 @@
 /// made the leader look.
 #[test]
 fn what_changes_with_time_alone_is_noticed_all_the_same() {
-    let mut news = News::default();
+    let mut news = PendingChanges::default();
     news.take(1_000);
     assert!(!news.take(1_099).all);
     assert!(news.take(1_100).all);
--- a/lilacpass-lead/tests/pressure.rs
+++ b/lilacpass-lead/tests/pressure.rs
@@ -6,8 +6,8 @@
     event::{Request, RequestId, Response},
     pressure::{Level, Pressure},
     rank::Rank,
-    turn::Turn,
-    waiting::{Sort, Waiting},
+    scan::Scan,
+    waiting::{StepKind, WaitingSteps},
 };
 use lilacpass_schema::v1;
 
@@ -38,7 +38,7 @@
     assert_eq!(level, None);
     let (_, level) = tick(&mut pressure, now_ms, 0, 20);
     assert_eq!(level, None);
-    assert_eq!(pressure.refuses(0, at(now_ms)), None);
+    assert_eq!(pressure.check_refusal(0, at(now_ms)), None);
 }
 
 #[test]
@@ -46,14 +46,18 @@
     let mut pressure = Pressure::new(at(0));
     let (now_ms, level) = tick(&mut pressure, 0, 200, 4);
     assert_eq!(level, Some(Level::Behind));
-    assert_eq!(pressure.refuses(0, at(now_ms)), None, "it is a little behind");
+    assert_eq!(pressure.check_refusal(0, at(now_ms)), None, "it is a little behind");
     let (now_ms, level) = tick(&mut pressure, now_ms, 2_000, 4);
     assert_eq!(level, Some(Level::Refuses));
-    assert_eq!(pressure.refuses(0, at(now_ms)), Some(2_000), "by then it should have caught up");
+    assert_eq!(
+        pressure.check_refusal(0, at(now_ms)),
+        Some(2_000),
+        "by then it should have caught up"
+    );
     let (now_ms, _) = tick(&mut pressure, now_ms, 500, 4);
-    assert!(pressure.refuses(0, at(now_ms)).is_some(), "it goes on refusing on the way down");
+    assert!(pressure.check_refusal(0, at(now_ms)).is_some(), "it goes on refusing on the way down");
     let (now_ms, _) = tick(&mut pressure, now_ms, 0, 1);
-    assert_eq!(pressure.refuses(0, at(now_ms)), None);
+    assert_eq!(pressure.check_refusal(0, at(now_ms)), None);
     let (_, level) = tick(&mut pressure, now_ms, 0, 30);
     assert_eq!(level, Some(Level::KeepsUp));
 }
@@ -61,17 +65,17 @@
 #[test]
 fn a_round_looks_at_less_the_longer_ticks_are_late_and_at_more_where_it_could() {
     let mut pressure = Pressure::new(at(0));
-    let at_first = pressure.tries_a_round();
+    let at_first = pressure.max_steps_per_round();
     let (now_ms, _) = tick(&mut pressure, 0, 300, 20);
-    let fewest = pressure.tries_a_round();
+    let fewest = pressure.max_steps_per_round();
     assert!(fewest > 0 && fewest < at_first / 8, "{fewest} of {at_first}");
     let (mut now_ms, _) = tick(&mut pressure, now_ms, 0, 5);
-    assert_eq!(pressure.tries_a_round(), fewest, "rounds have looked at all they had to");
+    assert_eq!(pressure.max_steps_per_round(), fewest, "rounds have looked at all they had to");
     for _ in 0..20 {
-        pressure.cut();
+        pressure.record_cut_round();
         (now_ms, _) = tick(&mut pressure, now_ms, 0, 1);
     }
-    assert!(pressure.tries_a_round() > at_first);
+    assert!(pressure.max_steps_per_round() > at_first);
 }
 
 fn rank(number: u64) -> Rank {
@@ -82,15 +86,15 @@
 /// A permit waits for ever: more urgent steps come in all the time, and a round looks at a few.
 #[test]
 fn each_waiting_step_gets_its_turn_though_others_come_in_before_it() {
-    let mut waiting = Waiting::default();
+    let mut waiting = WaitingSteps::default();
     for number in 1_000..1_100 {
-        waiting.add(rank(number).step, Sort::Plain, 0, || rank(number));
+        waiting.add(rank(number).step, StepKind::Plain, 0, || rank(number));
     }
-    let mut turn = Turn::default();
-    turn.begin(None, at(0));
+    let mut turn = Scan::default();
+    turn.start(None, at(0));
     let mut seen = Vec::new();
     for number in 0..30 {
-        waiting.add(rank(number).step, Sort::Plain, 0, || rank(number));
+        waiting.add(rank(number).step, StepKind::Plain, 0, || rank(number));
         seen.extend(turn.next(&waiting, 8, at(number)));
         if !turn.is_under_way() {
             break;
--- a/lilacpass-node/src/entry.rs
+++ b/lilacpass-node/src/entry.rs
@@ -5,8 +5,8 @@
 use http::StatusCode;
 use lilacpass_core::Verdict;
 use lilacpass_lead::{
-    asks::retry_after_ms,
     event::{Request, Response},
+    requests::retry_after_ms,
 };
 use lilacpass_platform::{
     callers::{self, Wanted},
