--- a/lilacpass-lead/src/event.rs
+++ b/lilacpass-lead/src/event.rs
@@ -1,351 +1,351 @@
-//! What the leader is told and what it asks for.
+//! Input events and output effects of the leader's state machine.
 
 use lilacpass_core::{Resources, Verdict};
 use lilacpass_jobs::{End, JobKey, StepName, TaskName, WorkerName};
 use lilacpass_schema::v1;
 
-/// The present time.
+/// The current time on both clocks that the leader uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Now {
-    /// Milliseconds of a clock that never jumps and goes on while the instance is suspended.
+    /// Milliseconds on a monotonic clock that never jumps and keeps running while the instance is suspended.
     pub steady_ms: u64,
-    /// Time of day, in milliseconds since 1970.
+    /// Wall-clock time in milliseconds since the Unix epoch.
     pub unix_ms: u64,
 }
 
-/// Names a request of a caller until it is answered.
+/// Identifies a client request until the leader has responded to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestId(pub u64);
 
-/// What a caller asks for.
+/// A request from a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
-    /// Take a job.
+    /// Submit a job.
     Submit {
-        /// Its name.
+        /// Key of the job.
         job: JobKey,
-        /// What to do.
+        /// Steps and payload of the job.
         plan: v1::WorkPlan,
-        /// How its queue treats it.
+        /// Policy of the queue that the job is submitted to.
         queue: v1::QueuePolicy,
     },
-    /// Tell what has become of a job.
+    /// Query the state of a job.
     State(JobKey),
     /// Cancel a job.
     Cancel(JobKey),
-    /// Count the jobs of a queue that have not started.
+    /// Count the jobs of a queue of which no task has started.
     Pending {
         /// Name of the queue.
         queue: String,
     },
 }
 
-/// What a caller is told.
+/// The leader's response to a client request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// The job was accepted and is stored, or its cancelling is.
+    /// The job, or its cancellation, has been accepted and stored.
     Done,
-    /// The state of a job.
+    /// The current state of the job.
     State(JobState),
-    /// So many jobs have not started.
+    /// Number of jobs in the queue of which no task has started.
     Pending(u64),
-    /// There is no such job.
+    /// No job with this key exists.
     UnknownJob,
-    /// Not done, and never will be; come back later.
+    /// The request was not carried out and never will be. The client may retry later.
     Refused {
-        /// Why.
+        /// Reason for the refusal, shown to the client.
         reason: &'static str,
-        /// When to come back.
+        /// Time in ms after which the client should retry.
         retry_after_ms: u32,
     },
-    /// The job asks for something that can't be done.
+    /// The job's plan is invalid or cannot be carried out; holds the reason.
     Invalid(String),
-    /// Another job has this name.
+    /// A different job with this key already exists.
     Conflict,
-    /// It may have been done.
+    /// The outcome is unknown: the request may have been carried out.
     Uncertain,
 }
 
-/// The state of a job as callers see it.
+/// The state of a job as shown to clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobState {
-    /// No task has started.
+    /// No worker has confirmed the start of a task.
     Queued,
-    /// Tasks have started.
+    /// A worker has confirmed the start of at least one task.
     Running,
-    /// All tasks are done.
+    /// All tasks have completed.
     Completed,
-    /// A task has failed too often.
+    /// A task has failed, or has crashed its workers, too often.
     Failed,
-    /// It was cancelled.
+    /// The job was cancelled by a client.
     Cancelled,
 }
 
-/// A worker as it is registered.
+/// A worker's entry in the registry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Registration {
-    /// One life of the worker.
+    /// Name of the worker; each incarnation has its own.
     pub name: WorkerName,
-    /// IP:port.
+    /// Network address as `IP:port`.
     pub address: String,
-    /// Its data centre.
+    /// Data centre that the worker runs in.
     pub data_centre: String,
-    /// The pool that it belongs to.
+    /// Service, i.e. the pool of workers, that the worker belongs to.
     pub service: String,
-    /// What it has.
+    /// Total resources of the worker.
     pub capacity: Resources,
-    /// Its kind and its rack, in this order, and more.
+    /// Labels of the worker: its kind, its rack, then any others.
     pub labels: Vec<String>,
-    /// It takes no more work and leaves soon.
+    /// Whether the worker is draining: it accepts no more work and will leave soon.
     pub draining: bool,
 }
 
-/// Why a call has brought no usable answer.
+/// Why a call to a worker returned no usable response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// No answer, or a broken one. The verdict says whether it may have been carried out.
+    /// There was no response or a malformed one. The verdict says whether the call may have been carried out.
     Failed(Verdict),
-    /// Another life of the worker answered: the one that was meant is over.
+    /// Another incarnation of the worker responded, so the one that was called has ended.
     OtherLife,
-    /// The receiver refused for a reason and did nothing.
+    /// The worker refused the call and did nothing.
     Refused(Refusal),
 }
 
 /// Why a worker refused an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It has heard of a higher epoch.
+    /// The worker knows of a leader with a higher epoch.
     Fence,
-    /// It has stopped or ended this run or a later one.
+    /// This run of the task, or a later one, has already been stopped or has ended there.
     Old,
-    /// The lease was over before it began.
+    /// The lease had expired before the run started.
     Late,
-    /// It has no room.
+    /// The worker has too little free capacity.
     Room,
-    /// The ticket is not valid.
+    /// The ticket is missing, invalid or expired.
     Ticket,
-    /// It takes no orders now.
+    /// The worker currently accepts no orders.
     Unhealthy,
-    /// The order does not fit what it knows of the task.
+    /// The order contradicts what the worker knows about the task.
     Malformed,
 }
 
-/// A run that a worker lists.
+/// A running run in a worker's poll response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReportedRun {
-    /// The task.
+    /// Task that is running.
     pub task: TaskName,
-    /// Number of the run.
+    /// Number of the run within its task.
     pub run: u32,
-    /// Saved progress.
+    /// The latest checkpoint that the task has saved; empty if there is none.
     pub checkpoint: String,
-    /// Share of its work, or its pace, in percent.
+    /// Progress of the task, or the pace of a long-running one, in percent.
     pub percent: u32,
-    /// For a task that serves users, the tail of its response times in ms; for any other the
-    /// processors in use, in thousandths.
+    /// Tail latency in ms for a task that serves users; CPU in use in thousandths of a core for any other task.
     pub gauge: u64,
 }
 
-/// An end that a worker lists until it is told to forget it.
+/// The end of a run, which a worker reports in each poll response until it is told to forget it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReportedEnd {
-    /// Its place among the ends of this worker; from 1, without gaps.
+    /// Sequence number of the end on this worker, counted from 1 without gaps.
     pub number: u64,
-    /// The task.
+    /// Task whose run has ended.
     pub task: TaskName,
-    /// The end.
+    /// How the run ended.
     pub end: End,
 }
 
-/// What a worker answers to a look.
+/// A worker's response to a poll.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PollResponse {
-    /// Its steady clock.
+    /// Reading of the worker's monotonic clock in ms.
     pub clock_ms: u64,
-    /// All that runs there.
+    /// All runs on the worker.
     pub running: Vec<ReportedRun>,
-    /// Ends that it has not been told to forget, oldest first; at most a page of them.
+    /// Ends that the worker has not been told to forget, oldest first, limited to one page.
     pub ends: Vec<ReportedEnd>,
-    /// It drains, and stays at least this long.
+    /// Minimum time in ms that a draining worker will stay; `None` if it is not draining.
     pub remaining_ms: Option<u64>,
 }
 
-/// Who calls the advice service.
+/// A client of the advice service. The service handles one call per lane at a time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Lane(pub String);
 
-/// Permission to start the tasks of a step on a worker.
+/// A ticket that permits starting the tasks of a step on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerTicket {
-    /// The worker.
+    /// Worker that the ticket is valid for.
     pub worker: WorkerName,
-    /// What to show it.
+    /// Text of the ticket, presented to the worker with each start.
     pub ticket: String,
 }
 
-/// What the advice service answered.
+/// A response of the advice service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Advice {
-    /// Workers that may run the step; of those asked about, all others may not.
+    /// Workers that are allowed to run the step. All others named in the call are not.
     pub good: Vec<WorkerTicket>,
-    /// How long the tickets are valid from now on.
+    /// Time in ms for which the tickets are valid from now on.
     pub valid_ms: u64,
 }
 
-/// What happened.
+/// An input to the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A caller asks.
+    /// A client request has arrived.
     Request {
-        /// Names the request.
+        /// Identifies the request in the reply.
         request_id: RequestId,
-        /// What is asked.
+        /// The request itself.
         request: Request,
     },
-    /// The records of the append under way are stored.
+    /// The store has stored the records of the pending append.
     Appended,
-    /// The store has surely done nothing of the append under way.
+    /// The store has definitely not stored any record of the pending append.
     NotAppended,
-    /// The store confirmed, at the time of this call's start, that we still lead.
+    /// The store has confirmed that this instance was still the leader when the call was sent.
     LeadershipConfirmed {
-        /// When the call was sent, on the steady clock.
+        /// Time when the call was sent, in ms on the monotonic clock.
         sent_ms: u64,
     },
-    /// A look has ended.
+    /// A poll has ended.
     Polled {
-        /// The worker.
+        /// Worker that was polled.
         worker: WorkerName,
-        /// When it was sent, on the steady clock.
+        /// Time when the poll was sent, in ms on the monotonic clock.
         sent_ms: u64,
-        /// Whether it was an extra look beside the waiting one.
+        /// Whether this was an extra poll sent while a long poll was pending.
         extra: bool,
-        /// Its answer.
+        /// The worker's response, or why there is none.
         result: Result<PollResponse, CallError>,
     },
-    /// A start has ended.
+    /// A call to start a run has ended.
     Started {
-        /// The worker.
+        /// Worker that was called.
         worker: WorkerName,
-        /// The task.
+        /// Task of the run.
         task: TaskName,
-        /// Number of the run.
+        /// Number of the run within its task.
         run: u32,
-        /// Its answer.
+        /// Whether the worker accepted the order, or why not.
         result: Result<(), CallError>,
     },
-    /// A stop has ended.
+    /// A call to stop a run has ended.
     Stopped {
-        /// The worker.
+        /// Worker that was called.
         worker: WorkerName,
-        /// The task.
+        /// Task of the run.
         task: TaskName,
-        /// Number of the run.
+        /// Number of the run within its task.
         run: u32,
-        /// Its answer.
+        /// Whether the worker accepted the order, or why not.
         result: Result<(), CallError>,
     },
-    /// A call for advice has ended.
+    /// A call to the advice service has ended.
     AdviceReceived {
-        /// Who called.
+        /// Lane that the call was made on.
         lane: Lane,
-        /// The step.
+        /// Step that the advice is for.
         step: StepName,
-        /// The workers that were asked about.
+        /// Workers that were named in the call.
         asked: Vec<WorkerName>,
-        /// The answer; none where there was no usable one.
+        /// The response; `None` if there was no usable one.
         advice: Option<Advice>,
     },
-    /// A worker has registered or changed.
+    /// A worker has registered, or its registration has changed.
     WorkerRegistered(Registration),
     /// A worker is no longer registered.
     WorkerUnregistered(WorkerName),
-    /// All registrations have been read; workers that were not among them are not registered.
+    /// All registrations have been read. Workers that were not among them are not registered.
     RegistrationsRead,
-    /// Instances that can call the advice service.
+    /// The current list of instances that can call the advice service.
     Lanes(Vec<Lane>),
-    /// Time has passed.
+    /// The periodic timer has fired.
     Tick,
 }
 
-/// What is to be done.
+/// An action that the leader asks its caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Answer a caller.
+    /// Respond to a client.
     Reply {
-        /// Names the request.
+        /// Request that this responds to.
         request_id: RequestId,
-        /// What to say.
+        /// Response to send.
         response: Response,
     },
-    /// Store records, all or none, and tell when that is done. One at a time.
+    /// Store records atomically, and report the result as [`Event::Appended`] or [`Event::NotAppended`]. The leader
+    /// issues one append at a time.
     Append(Vec<Record>),
-    /// Look at a worker and extend the leases there.
+    /// Poll a worker for its runs and ends, and extend the leases there.
     Poll {
-        /// The worker.
+        /// Worker to poll.
         worker: WorkerName,
-        /// IP:port.
+        /// Address of the worker as `IP:port`.
         address: String,
-        /// Until when, on the worker's clock; none where that clock is not known.
+        /// New expiry of the leases in ms on the worker's clock; `None` if that clock is not known yet.
         lease_until_ms: Option<u64>,
-        /// Ends up to this number may be forgotten.
+        /// The worker may forget ends up to and including this sequence number.
         forget_up_to: u64,
-        /// How long to wait for an end.
+        /// Time in ms for which the worker may hold the poll until a run ends.
         wait_ms: u64,
-        /// How long the answer may take beyond that.
+        /// Time in ms that the response may take in addition to `wait_ms`.
         answer_ms: u64,
-        /// Whether it is an extra look beside the waiting one.
+        /// Whether this is an extra poll sent while a long poll is pending.
         extra: bool,
     },
     /// Start a run.
     Start {
-        /// The worker.
+        /// Worker to start the run on.
         worker: WorkerName,
-        /// IP:port.
+        /// Address of the worker as `IP:port`.
         address: String,
-        /// The task.
+        /// Task to run.
         task: TaskName,
-        /// Number of the run.
+        /// Number of the run within its task.
         run: u32,
-        /// What to do.
+        /// Payload of the job, passed to the task.
         payload: String,
-        /// Until when, on the worker's clock.
+        /// Expiry of the lease in ms on the worker's clock.
         lease_until_ms: u64,
-        /// Saved progress; empty where there is none.
+        /// Checkpoint to resume from; empty if there is none.
         checkpoint: String,
-        /// Permission, where the queue needs one.
+        /// Ticket from the advice service; `None` if the queue needs none.
         ticket: Option<String>,
     },
-    /// Stop a run, or prevent it from starting later.
+    /// Stop a run, or prevent it from starting if its start order arrives late.
     Stop {
-        /// The worker.
+        /// Worker that the run was assigned to.
         worker: WorkerName,
-        /// IP:port.
+        /// Address of the worker as `IP:port`.
         address: String,
-        /// The task.
+        /// Task of the run.
         task: TaskName,
-        /// Number of the run.
+        /// Number of the run within its task.
         run: u32,
     },
-    /// Ask which workers may run a step.
+    /// Ask the advice service which workers may run a step.
     RequestAdvice {
-        /// Who is to call.
+        /// Lane to make the call on.
         lane: Lane,
-        /// The step.
+        /// Step to request advice for.
         step: StepName,
-        /// The workers to ask about.
+        /// Workers to name in the call.
         workers: Vec<WorkerName>,
-        /// How long the answer should take.
+        /// Expected duration of the call in ms.
         expected_ms: u64,
     },
-    /// A worker has heard of a higher epoch: find out who leads.
+    /// A worker has reported a higher epoch: check which instance leads now.
     Deposed,
 }
 
-/// A record of the keyed log; without a value the key is dropped.
+/// A record of the keyed log. An empty value deletes the key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Its key.
+    /// Key of the record.
     pub key: String,
-    /// Its value.
+    /// New value of the key.
     pub value: Vec<u8>,
 }
--- a/lilacpass-lead/src/lib.rs
+++ b/lilacpass-lead/src/lib.rs
@@ -1,16 +1,15 @@
-//! The leader of a cell, as a state machine without I/O: it owns the jobs and commands the workers.
+//! The leader of a cell, implemented as a state machine without I/O. It owns the jobs and gives orders to the workers.
 //!
-//! One instance leads at a time, under an epoch that rises with each take-over. Two fences keep a
-//! former leader harmless, however late its messages arrive: the store refuses its records, and each
-//! worker that has heard of a higher epoch refuses its orders. So [`Leader`] may act on what it
-//! knows without asking anybody.
+//! One instance leads at a time, under an epoch that increases with each take-over. Two fences make a former leader
+//! harmless, however late its messages arrive: the store rejects its records, and each worker that knows of a higher
+//! epoch refuses its orders. [`Leader`] can therefore act on its own state without consulting anyone.
 //!
-//! What must survive the leader is recorded before it is acted upon: a job before its caller is
-//! told, a run and its worker before the run is ordered, an end before its worker may forget it. A
-//! new leader reads the records, asks each worker what runs there, and goes on.
+//! Everything that must survive the leader is stored before the leader acts on it: a job before its client receives a
+//! response, a run and its worker before the run is ordered, and the end of a run before its worker may forget it.
+//! A new leader reads the stored records, polls each worker for its runs, and continues from there.
 //!
-//! [`Leader::handle`] takes an [`event::Event`] and the present time and returns
-//! [`event::Effect`]s to carry out.
+//! [`Leader::handle`] takes an [`event::Event`] and the current time. [`Leader::finish`] then makes the decisions that
+//! follow and returns the [`event::Effect`]s to carry out.
 
 pub mod advance_reservations;
 pub mod advice;
