--- a/lilacpass-lead/src/hosts.rs
+++ b/lilacpass-lead/src/hosts.rs
@@ -35,13 +35,13 @@
 }
 
 /// Chooses among hosts as a comparison asks for.
-pub(crate) struct Chooser {
+pub(crate) struct HostSelector {
     pub(crate) placement: Placement,
     pub(crate) step: StepName,
     pub(crate) now_ms: u64,
 }
 
-impl Chooser {
+impl HostSelector {
     /// The host for the next task of the round, of which `picked` have one.
     fn choose<'a>(&self, mut able: Vec<&'a mut Host>, picked: usize) -> Option<&'a mut Host> {
         let draw = |number: u64| {
@@ -62,7 +62,7 @@
 
 /// Keeps the hosts of one rack, if that has room for all `count` tasks: on several racks they would
 /// take longer. Where no rack has room for all, spread tasks are better than waiting ones.
-pub(crate) fn keep_one_rack(hosts: &mut Vec<Host>, plan: &v1::WorkStep, count: usize) {
+pub(crate) fn retain_one_rack(hosts: &mut Vec<Host>, plan: &v1::WorkStep, count: usize) {
     let need = place::need(plan);
     let mut rooms: BTreeMap<String, u64> = BTreeMap::new();
     for host in hosts.iter() {
@@ -82,17 +82,17 @@
     hosts: &mut [Host],
     plan: &v1::WorkStep,
     count: usize,
-    chooser: &Chooser,
+    selector: &HostSelector,
 ) -> Vec<WorkerName> {
     let need = place::need(plan);
     let mut picks = Vec::new();
     while picks.len() < count {
         let able = |host: &&mut Host| host.remaining_task_limit > 0 && need.fits(&host.room);
-        let best = if chooser.placement == Placement::Suited {
+        let best = if selector.placement == Placement::Suited {
             hosts.iter_mut().filter(able).max_by_key(|host| (host.clean, host.score))
         } else {
             let able: Vec<&mut Host> = hosts.iter_mut().filter(able).collect();
-            chooser.choose(able, picks.len())
+            selector.choose(able, picks.len())
         };
         let Some(host) = best else { break };
         host.take(&need);
--- a/lilacpass-lead/src/preempt.rs
+++ b/lilacpass-lead/src/preempt.rs
@@ -111,7 +111,7 @@
             let (tasks, stops) = cheapest(most, victims, fits);
             (tasks > 0).then(|| Offer { worker: worker.entry.name.clone(), tasks, stops })
         };
-        self.allowed(name, None, now)
+        self.allowed_workers(name, None, now)
             .into_iter()
             .filter(|worker| self.could_start(worker, name, plan, now))
             .filter_map(|worker| offer(&worker))
--- a/lilacpass-lead/src/rounds.rs
+++ b/lilacpass-lead/src/rounds.rs
@@ -2,7 +2,9 @@
 
 use lilacpass_jobs::StepName;
 
-use crate::{event::Now, leader::Leader, pending_changes::RoundScope, rank::Rank, schedule::Scope};
+use crate::{
+    event::Now, leader::Leader, pending_changes::RoundScope, rank::Rank, schedule::WorkerScope,
+};
 
 /// Part of a round for the steps that are first in order; the other is for those whose turn it is.
 const FIRST_IN: u64 = 2;
@@ -16,29 +18,29 @@
     }
 
     /// A round has looked at all it may before this step: the others get their turns in the next ones.
-    pub(crate) fn end_round_early(&mut self, before: Rank, news: RoundScope, now: Now) {
+    pub(crate) fn end_round_early(&mut self, before: Rank, round: RoundScope, now: Now) {
         self.pressure.record_cut_round();
         self.turn.start(self.waiting.before(before), now);
-        self.keep_unseen(news);
+        self.keep_unseen(round);
     }
 
     /// Places tasks of the first steps in order, and of those whose turn it is; then asks for advice about them.
     ///
     /// First come those that changed or have new room, as far as half of the round goes: by their order they are to
     /// get room before others. The turn looks at everything, so that nothing that a round left out is lost.
-    pub(crate) fn schedule_by_scan(&mut self, mut news: RoundScope, now: Now) {
+    pub(crate) fn schedule_by_scan(&mut self, mut round: RoundScope, now: Now) {
         let most = self.pressure.max_steps_per_round();
         // The turn is what looks at everything.
-        news.all = false;
-        let first = self.place_first(&mut news, most / FIRST_IN, now);
+        round.all = false;
+        let first = self.place_first(&mut round, most / FIRST_IN, now);
         let next = self.turn.next(&self.waiting, (most / FIRST_IN) as usize, now);
         for step in &next {
-            news.changed.remove(step);
+            round.changed.remove(step);
             self.place_step(*step, None, now);
         }
         self.ask_about(&first, most / ADVICE_IN, now);
         self.ask_about(&next, u64::MAX, now);
-        self.keep_unseen(news);
+        self.keep_unseen(round);
         if self.turn.is_under_way() {
             self.pressure.record_cut_round();
         } else {
@@ -47,18 +49,18 @@
     }
 
     /// Places tasks of steps that changed or have new room, in order, until `most` were looked at.
-    fn place_first(&mut self, news: &mut RoundScope, most: u64, now: Now) -> Vec<StepName> {
+    fn place_first(&mut self, round: &mut RoundScope, most: u64, now: Now) -> Vec<StepName> {
         let end = self.work.tries + most;
         let mut looked_at = Vec::new();
-        for (rank, scope) in self.due(news) {
+        for (rank, workers) in self.due_steps(round) {
             if self.work.tries >= end {
                 break;
             }
-            match scope {
-                Scope::All => self.place_step(rank.step, None, now),
-                Scope::Freed => self.place_step(rank.step, Some(&news.freed), now),
+            match workers {
+                WorkerScope::All => self.place_step(rank.step, None, now),
+                WorkerScope::Freed => self.place_step(rank.step, Some(&round.freed), now),
             }
-            news.changed.remove(&rank.step);
+            round.changed.remove(&rank.step);
             looked_at.push(rank.step);
         }
         looked_at
@@ -76,8 +78,8 @@
     }
 
     /// Keeps the steps that changed and were not looked at for the next round.
-    fn keep_unseen(&mut self, news: RoundScope) {
-        for step in news.changed {
+    fn keep_unseen(&mut self, round: RoundScope) {
+        for step in round.changed {
             if self.waiting.rank_of(step).is_some() {
                 self.news.mark_step_changed(step);
             }
--- a/lilacpass-lead/src/schedule.rs
+++ b/lilacpass-lead/src/schedule.rs
@@ -1,4 +1,4 @@
-//! What starts where, and for which steps advice is asked.
+//! A scheduling round: places waiting tasks on workers and requests advice for steps that need it.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,7 +11,7 @@
 
 use crate::{
     event::Now,
-    hosts::{self, Chooser, Host},
+    hosts::{self, Host, HostSelector},
     leader::Leader,
     options::Mechanism,
     outbox::After,
@@ -21,69 +21,70 @@
     worker::{Phase, RunKey, Worker},
 };
 
-/// Steps for which room is looked for by preemption in one round, the first in order. Each goes through the
-/// runs of all workers that it may use; in an overload hundreds of steps wait.
-const MOST_TRIES_FOR_ROOM: u32 = 16;
+/// Maximum number of steps per round for which preemption is attempted, in scheduling order. Each attempt scans the
+/// runs of all workers that the step may use, and hundreds of steps wait during an overload.
+const MAX_PREEMPTION_ATTEMPTS: u32 = 16;
 
 impl Leader {
-    /// Places waiting tasks and asks for the advice that others need.
+    /// Runs one scheduling round: places waiting tasks and requests advice for steps that need it.
     pub(crate) fn schedule(&mut self, now: Now) {
         for worker in self.reservations.expire(now.steady_ms) {
             self.news.mark_worker_freed(&worker);
         }
-        let mut news = self.news.take(now.steady_ms);
+        let mut round = self.news.take(now.steady_ms);
         self.tries_for_room = 0;
         for step in self.askers.take_due(now.steady_ms) {
             self.update_advice_queue(step, now);
         }
         self.request_advice_for_advance_reservations(now);
         if self.turn.is_under_way() {
-            return self.schedule_by_scan(news, now);
+            return self.schedule_by_scan(round, now);
         }
         let end = self.work.tries + self.pressure.max_steps_per_round();
-        let mut due = self.due(&news);
+        let mut due = self.due_steps(&round);
         let mut last = None;
         while let Some(rank) = self.next_step(&due, last) {
             if self.work.tries >= end {
-                return self.end_round_early(rank, news, now);
+                return self.end_round_early(rank, round, now);
             }
             match due.remove(&rank) {
-                Some(Scope::All) => self.place_step(rank.step, None, now),
-                Some(Scope::Freed) => self.place_step(rank.step, Some(&news.freed), now),
+                Some(WorkerScope::All) => self.place_step(rank.step, None, now),
+                Some(WorkerScope::Freed) => self.place_step(rank.step, Some(&round.freed), now),
                 None => {}
             }
-            news.changed.remove(&rank.step);
+            round.changed.remove(&rank.step);
             if self.lanes.has_idle() {
                 self.request_advice(rank.step, now);
             }
             last = Some(rank);
         }
-        if news.all {
+        if round.all {
             self.turn.reset_duration();
             self.make_advance_reservations(now);
         }
     }
 
-    /// The steps for which workers may have come into question since they were last looked at.
-    pub(crate) fn due(&self, news: &RoundScope) -> BTreeMap<Rank, Scope> {
-        if news.all {
-            return self.waiting.in_order().map(|rank| (rank, Scope::All)).collect();
+    /// Returns the steps that may be placeable now although they were not in the previous round, with the workers to
+    /// consider for each.
+    pub(crate) fn due_steps(&self, round: &RoundScope) -> BTreeMap<Rank, WorkerScope> {
+        if round.all {
+            return self.waiting.in_order().map(|rank| (rank, WorkerScope::All)).collect();
         }
         let mut due = BTreeMap::new();
-        if !news.freed.is_empty() {
-            due.extend(self.waiting.plain().map(|rank| (rank, Scope::Freed)));
-            let allowed = news.freed.iter().filter_map(|worker| self.allowed_steps.get(worker));
+        if !round.freed.is_empty() {
+            due.extend(self.waiting.plain().map(|rank| (rank, WorkerScope::Freed)));
+            let allowed = round.freed.iter().filter_map(|worker| self.allowed_steps.get(worker));
             let advised = allowed.flatten().filter_map(|step| self.waiting.rank_of_advised(*step));
-            due.extend(advised.map(|rank| (rank, Scope::Freed)));
-            due.extend(self.waiting.combined().map(|rank| (rank, Scope::All)));
+            due.extend(advised.map(|rank| (rank, WorkerScope::Freed)));
+            due.extend(self.waiting.combined().map(|rank| (rank, WorkerScope::All)));
         }
-        let changed = news.changed.iter().filter_map(|step| self.waiting.rank_of(*step));
-        due.extend(changed.map(|rank| (rank, Scope::All)));
+        let changed = round.changed.iter().filter_map(|step| self.waiting.rank_of(*step));
+        due.extend(changed.map(|rank| (rank, WorkerScope::All)));
         due
     }
 
-    /// The step after `last` that is due or may ask for advice.
-    fn next_step(&self, due: &BTreeMap<Rank, Scope>, last: Option<Rank>) -> Option<Rank> {
+    /// Returns the first step in scheduling order that is due, or that comes after `last` and may request advice.
+    fn next_step(&self, due: &BTreeMap<Rank, WorkerScope>, last: Option<Rank>) -> Option<Rank> {
         let first = due.first_key_value().map(|(rank, _)| *rank);
         if !self.lanes.has_idle() {
             return first;
@@ -93,11 +94,11 @@
         first.into_iter().chain(asking).min()
     }
 
-    /// Places tasks of a step, on any worker or only on some of them.
+    /// Places waiting tasks of a step. Only workers in `subset` are considered if it is given.
     pub(crate) fn place_step(
         &mut self,
         name: StepName,
-        among: Option<&BTreeSet<WorkerName>>,
+        subset: Option<&BTreeSet<WorkerName>>,
         now: Now,
     ) {
         let Some(entry) = self.jobs.get(&name.job) else { return };
@@ -109,62 +110,62 @@
         let plan = entry.job.step_plan(name.step).clone();
         self.work.tries += 1;
         self.choose_home(name, &plan, now);
-        let mut hosts = self.hosts(name, &plan, among, now);
-        let strays =
-            among.is_none() && !hosts.is_empty() && !hosts.iter().any(|host| host.score.at_home);
-        if strays && let Some(entry) = self.jobs.get_mut(&name.job) {
-            // Its data centre is full or cut off; the next step looks for another.
+        let mut hosts = self.available_hosts(name, &plan, subset, now);
+        let home_is_unusable =
+            subset.is_none() && !hosts.is_empty() && !hosts.iter().any(|host| host.score.at_home);
+        if home_is_unusable && let Some(entry) = self.jobs.get_mut(&name.job) {
+            // The job's data centre is full or unreachable. The next step of the job chooses another one.
             entry.home = None;
         }
         if plan.one_rack {
-            hosts::keep_one_rack(&mut hosts, &plan, waiting.len());
+            hosts::retain_one_rack(&mut hosts, &plan, waiting.len());
         }
-        let chooser =
-            Chooser { placement: self.options.placement, step: name, now_ms: now.steady_ms };
+        let selector =
+            HostSelector { placement: self.options.placement, step: name, now_ms: now.steady_ms };
         let wanted = waiting.len();
-        let picks = self.pick_hosts(&mut waiting, &mut hosts, &plan, &chooser);
+        let picks = self.pick_hosts(&mut waiting, &mut hosts, &plan, &selector);
         if plan.target_ms > 0 && picks.len() < wanted {
-            self.make_way(name, &plan, now);
+            self.stop_filling_tasks(name, &plan, now);
         }
         let missing = (wanted - picks.len()) as u64;
-        if missing > 0 && among.is_none() {
+        if missing > 0 && subset.is_none() {
             let wanted = if plan.gang { wanted as u64 } else { missing };
             let may_preempt = !plan.lasting && self.options.uses(Mechanism::Preemption);
-            if may_preempt && self.tries_for_room < MOST_TRIES_FOR_ROOM {
+            if may_preempt && self.tries_for_room < MAX_PREEMPTION_ATTEMPTS {
                 self.tries_for_room += 1;
                 self.preempt_for(name, &plan, wanted, now);
             }
         }
         if plan.gang {
             if missing == 0 {
-                self.give_gang(name, &picks, now);
+                self.assign_gang(name, &picks, now);
             }
             return;
         }
         for (task, worker) in waiting.into_iter().zip(picks) {
-            if !self.runs_on(task, &worker) {
-                self.give(task, worker, now);
+            if !self.has_run_on(task, &worker) {
+                self.assign(task, worker, now);
             }
         }
     }
 
-    /// Picks workers for waiting tasks of a step, the first for the first. Brings those that may crash their workers
-    /// behind all others.
+    /// Picks workers for waiting tasks of a step; the first worker is for the first task, and so on. Reorders `waiting`
+    /// so that tasks suspected of crashing their workers come last.
     fn pick_hosts(
         &self,
         waiting: &mut Vec<TaskName>,
         hosts: &mut Vec<Host>,
         plan: &v1::WorkStep,
-        chooser: &Chooser,
+        selector: &HostSelector,
     ) -> Vec<WorkerName> {
-        let entry = self.jobs.get(&chooser.step.job);
+        let entry = self.jobs.get(&selector.step.job);
         let is_on_trial =
             |task: &TaskName| entry.is_some_and(|entry| self.is_on_trial(entry, *task));
         if plan.gang || !waiting.iter().any(is_on_trial) {
-            return hosts::pick(hosts, plan, waiting.len(), chooser);
+            return hosts::pick(hosts, plan, waiting.len(), selector);
         }
         let (suspects, others): (Vec<_>, Vec<_>) = waiting.iter().copied().partition(is_on_trial);
-        let mut picks = hosts::pick(hosts, plan, others.len(), chooser);
+        let mut picks = hosts::pick(hosts, plan, others.len(), selector);
         waiting.clear();
         waiting.extend(others.into_iter().take(picks.len()));
         waiting.extend(&suspects);
@@ -175,8 +176,8 @@
         picks
     }
 
-    /// Chooses the data centre in which the tasks of a job are to run, if that is still open. Tasks that
-    /// last are spread instead: each that is lost counts by itself.
+    /// Chooses the home data centre of a job, in which all its tasks should run, unless it has one. Long-running tasks
+    /// are spread instead, because each of them that is lost counts by itself.
     pub(crate) fn choose_home(&mut self, name: StepName, plan: &v1::WorkStep, now: Now) {
         let Some(entry) = self.jobs.get(&name.job) else { return };
         if entry.home.is_some() || plan.lasting || !self.options.uses(Mechanism::Home) {
@@ -186,26 +187,26 @@
         let could_run = |worker: &&Worker| {
             worker.takes_starts(now.steady_ms) && place::is_eligible(worker, service, plan)
         };
-        let roomy = self.workers_fitting(service, &place::need(plan));
-        let home = place::home(roomy.into_iter().filter(could_run), plan);
+        let fitting = self.workers_fitting(service, &place::need(plan));
+        let home = place::home(fitting.into_iter().filter(could_run), plan);
         if let Some(entry) = self.jobs.get_mut(&name.job) {
             entry.home = home;
         }
     }
 
-    /// Whether a run of a task may be on a worker already: a copy there would gain nothing.
-    fn runs_on(&self, task: TaskName, worker: &WorkerName) -> bool {
+    /// Returns whether the worker may already have a run of the task. A second copy on the same worker gains nothing.
+    fn has_run_on(&self, task: TaskName, worker: &WorkerName) -> bool {
         let entry = self.jobs.get(&task.step.job);
         let runs = entry.and_then(|entry| entry.job.task(task)).map(|task| &task.runs);
         runs.is_some_and(|runs| runs.iter().any(|run| run.worker == *worker))
     }
 
-    /// The workers that may start tasks of a step now, among some or all.
-    fn hosts(
+    /// Returns the workers that can start tasks of a step now, limited to `subset` if it is given.
+    fn available_hosts(
         &self,
         name: StepName,
         plan: &v1::WorkStep,
-        among: Option<&BTreeSet<WorkerName>>,
+        subset: Option<&BTreeSet<WorkerName>>,
         now: Now,
     ) -> Vec<Host> {
         let Some(entry) = self.jobs.get(&name.job) else { return Vec::new() };
@@ -216,11 +217,11 @@
             need.fits(&self.free_capacity_for(&rank, worker))
                 && self.could_start(worker, name, plan, now)
         };
-        let open_to_all = among.is_none() && entry.job.queue.advice.is_none();
-        let workers = if open_to_all {
+        let is_unrestricted = subset.is_none() && entry.job.queue.advice.is_none();
+        let workers = if is_unrestricted {
             self.workers_fitting(&entry.job.queue.service, &need)
         } else {
-            self.allowed(name, among, now)
+            self.allowed_workers(name, subset, now)
         };
         workers
             .into_iter()
@@ -238,27 +239,28 @@
             .collect()
     }
 
-    /// The workers that a step may start on as far as advice goes, among some or all.
-    pub(crate) fn allowed(
+    /// Returns the workers that advice permits for a step, limited to `subset` if it is given. A step whose queue needs
+    /// no advice may use all workers.
+    pub(crate) fn allowed_workers(
         &self,
         name: StepName,
-        among: Option<&BTreeSet<WorkerName>>,
+        subset: Option<&BTreeSet<WorkerName>>,
         now: Now,
     ) -> Vec<&Worker> {
         let Some(entry) = self.jobs.get(&name.job) else { return Vec::new() };
         if entry.job.queue.advice.is_some() {
             let Some(advice) = self.advice.get(&name) else { return Vec::new() };
             let ticketed = advice.ticketed(now.steady_ms);
-            let within = ticketed.filter(|name| among.is_none_or(|among| among.contains(*name)));
+            let within = ticketed.filter(|name| subset.is_none_or(|subset| subset.contains(*name)));
             within.filter_map(|name| self.workers.get(name)).collect()
-        } else if let Some(among) = among {
-            among.iter().filter_map(|name| self.workers.get(name)).collect()
+        } else if let Some(subset) = subset {
+            subset.iter().filter_map(|name| self.workers.get(name)).collect()
         } else {
             self.workers.values().collect()
         }
     }
 
-    /// Whether a worker takes starts of a step now, if it has room.
+    /// Returns whether a worker accepts starts of a step now, apart from its free capacity.
     pub(crate) fn could_start(
         &self,
         worker: &Worker,
@@ -270,43 +272,44 @@
         worker.takes_starts(now.steady_ms)
             && place::is_eligible(worker, &entry.job.queue.service, plan)
             && (plan.lasting || !entry.keeps_off(&worker.entry.name, now.steady_ms))
-            && !self.would_disturb(worker, plan)
+            && !self.would_interfere(worker, plan)
     }
 
-    /// The room on a worker that is open to a step with this rank.
+    /// Returns the free capacity of a worker that a step with this rank may use, excluding reservations that rank
+    /// before it.
     pub(crate) fn free_capacity_for(&self, rank: &Rank, worker: &Worker) -> Resources {
         worker.room().minus(&self.reservations.reserved_before(rank, &worker.entry.name))
     }
 
-    /// Whether a task of this step and those on the worker would disturb each other: one that fills
-    /// takes processors that nobody reserved, and the tail of the response times of one that serves
-    /// users grows with that, by an amount that nobody knows beforehand.
-    fn would_disturb(&self, worker: &Worker, plan: &v1::WorkStep) -> bool {
-        let any = |is_such: fn(&v1::WorkStep) -> bool| {
-            worker.runs.keys().any(|(task, _)| self.plan_of(*task).is_some_and(is_such))
+    /// Returns whether a task of this step would interfere with those on the worker. A filling task uses CPU that is
+    /// not reserved, which increases the tail latency of tasks that serve users by an unpredictable amount.
+    fn would_interfere(&self, worker: &Worker, plan: &v1::WorkStep) -> bool {
+        let has_task = |matches: fn(&v1::WorkStep) -> bool| {
+            worker.runs.keys().any(|(task, _)| self.plan_of(*task).is_some_and(matches))
         };
-        plan.fills && any(|other| other.target_ms > 0)
-            || plan.target_ms > 0 && any(|other| other.fills)
+        plan.fills && has_task(|other| other.target_ms > 0)
+            || plan.target_ms > 0 && has_task(|other| other.fills)
     }
 
+    /// Returns the plan of the step that a task belongs to.
     fn plan_of(&self, task: TaskName) -> Option<&v1::WorkStep> {
         let entry = self.jobs.get(&task.step.job)?;
         entry.job.plan.steps.get(task.step.step as usize)
     }
 
-    /// Stops tasks that fill on a worker that could serve users. Without this, filling tasks that
-    /// came first would keep tasks with a target waiting for as long as they run.
-    fn make_way(&mut self, name: StepName, plan: &v1::WorkStep, now: Now) {
+    /// Stops the filling tasks on a worker that could run a task with a latency target. Otherwise filling tasks that
+    /// started earlier would keep it waiting for as long as they run.
+    fn stop_filling_tasks(&mut self, name: StepName, plan: &v1::WorkStep, now: Now) {
         let Some(entry) = self.jobs.get(&name.job) else { return };
         let service = &entry.job.queue.service;
         let need = place::need(plan);
-        let filled = self.workers.values().find(|worker| {
+        let occupied = self.workers.values().find(|worker| {
             worker.takes_starts(now.steady_ms)
                 && place::is_eligible(worker, service, plan)
                 && need.fits(&worker.room())
-                && self.would_disturb(worker, plan)
+                && self.would_interfere(worker, plan)
         });
-        let Some(worker) = filled else { return };
+        let Some(worker) = occupied else { return };
         let host = worker.entry.name.clone();
         let fills = |task: TaskName| self.plan_of(task).is_some_and(|plan| plan.fills);
         let stopped: Vec<RunKey> =
@@ -316,7 +319,7 @@
         }
     }
 
-    /// How many more tasks of a step a worker may run, by the step's own limit.
+    /// Returns how many more tasks of a step a worker may run under the step's limit per worker.
     pub(crate) fn remaining_task_limit(
         &self,
         worker: &Worker,
@@ -330,7 +333,8 @@
         u64::from(plan.max_per_worker).saturating_sub(there)
     }
 
-    fn give(&mut self, task: TaskName, worker: WorkerName, now: Now) {
+    /// Begins a run of a task on a worker.
+    fn assign(&mut self, task: TaskName, worker: WorkerName, now: Now) {
         let entry = self.jobs.get(&task.step.job);
         let is_on_trial = entry.is_some_and(|entry| self.is_on_trial(entry, task));
         let Some(entry) = self.jobs.get_mut(&task.step.job) else { return };
@@ -344,7 +348,8 @@
         self.reindex_step(task.step, now);
     }
 
-    fn give_gang(&mut self, name: StepName, workers: &[WorkerName], now: Now) {
+    /// Begins a run of all tasks of a gang at once, the first task on the first worker and so on.
+    fn assign_gang(&mut self, name: StepName, workers: &[WorkerName], now: Now) {
         let Some(entry) = self.jobs.get_mut(&name.job) else { return };
         let hosts: Vec<(WorkerName, Arc<str>)> = workers
             .iter()
@@ -363,7 +368,7 @@
         self.reindex_step(name, now);
     }
 
-    /// Records a start; its order follows once that is stored.
+    /// Records a start to be stored. The start order is sent to the worker once the store has confirmed it.
     fn record_start(&mut self, task: TaskName, run: u32, name: WorkerName, now: Now) {
         let need = self.need_of(task);
         self.reservations.consume(task.step, &name, &need);
@@ -378,13 +383,16 @@
     }
 }
 
-/// Which workers are to be looked at for a step.
+/// Which workers a round considers for a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Scope {
+pub(crate) enum WorkerScope {
+    /// Only workers whose capacity was freed since the previous round.
     Freed,
+    /// All workers.
     All,
 }
 
+/// Returns the data centre of a worker, or an empty string if the worker is unknown.
 fn data_centre_of(workers: &BTreeMap<WorkerName, Worker>, name: &WorkerName) -> Arc<str> {
     Arc::from(workers.get(name).map_or("", |worker| worker.entry.data_centre.as_str()))
 }
