--- a/lilacpass-lead/src/advance_reservations.rs
+++ b/lilacpass-lead/src/advance_reservations.rs
@@ -58,7 +58,8 @@
             return;
         }
         let steps = self.reservations.steps_with_advance();
-        let is_asking = |step: &StepName| self.advice.get(step).is_some_and(|advice| advice.asking);
+        let is_asking =
+            |step: &StepName| self.advice.get(step).is_some_and(|advice| advice.call_pending);
         let asking = steps.iter().filter(|step| is_asking(step)).count();
         let may_ask = (self.lanes.len() / LANES_IN).max(1).saturating_sub(asking);
         let steps: Vec<StepName> = steps.into_iter().filter(|step| !is_asking(step)).collect();
--- a/lilacpass-lead/src/advice.rs
+++ b/lilacpass-lead/src/advice.rs
@@ -1,8 +1,8 @@
-//! Advice: which workers may run a step, who asks, and how many workers are asked about.
+//! State of the advice per step, the choice of workers to name in a call, and the lanes on which calls are made.
 //!
-//! The service handles one call of an instance at a time and a call takes longer the more workers
-//! it names, so calls are the scarcest resource. They are spread over the instances ("lanes"), and
-//! a slow call never takes a lane that is kept for quick ones.
+//! The advice service handles one call per instance at a time, and a call takes longer the more workers it names, so
+//! calls are the scarcest resource. They are spread over the instances ("lanes"), and slow calls never use the lanes
+//! that are reserved for quick ones.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,31 +10,31 @@
 
 use crate::event::{Advice, Lane};
 
-/// Calls longer than this are slow. Between the two groups seen: about 40 ms and about 500 ms.
+/// Calls expected to take longer than this are slow. Calls take either about 40 ms or about 500 ms.
 const SLOW_CALL_MS: u64 = 120;
-/// One lane in so many is kept for quick calls. Quick calls need about a third of the time of all.
-const QUICK_LANE_IN: usize = 3;
-/// Share of the lanes for slow calls that one queue may hold, in percent. Where its steps find no room, each asks
-/// again as soon as its tickets have lapsed; sixty of them held all lanes for seven seconds, and a step of
-/// another queue stood still beside free workers.
-const QUEUE_LANES_PERCENT: usize = 67;
-/// Pause after a call for advice that failed, before the next for the same step.
+/// One lane in this many is reserved for quick calls, which need about a third of the total call time.
+const LANES_PER_QUICK_LANE: usize = 3;
+/// Maximum share of the lanes for slow calls that one queue may hold, in percent. Steps that find no free capacity call
+/// again as soon as their tickets have expired. Sixty such steps once held all lanes for seven seconds, and a step of
+/// another queue could not start although workers were free.
+const MAX_QUEUE_SLOW_LANES_PERCENT: usize = 67;
+/// Pause in ms after a failed call for advice before the next call for the same step.
 const RETRY_MS: u64 = 200;
 
-/// Pause before workers to ask about are looked for again after none was found. In a full cell every
-/// waiting step goes through all workers for this.
-const NOBODY_PAUSE_MS: u64 = 25;
+/// Pause in ms after a search for candidates found none. In a full cell the search goes through all workers for every
+/// waiting step.
+const NO_CANDIDATES_PAUSE_MS: u64 = 25;
 
-/// What is known of the workers for one step. Which workers may run a step never changes.
+/// What is known about the workers for one step. Which workers may run a step never changes.
 #[derive(Debug, Default)]
 pub struct StepAdvice {
     tickets: BTreeMap<WorkerName, Ticket>,
-    /// Whether a worker is allowed.
+    /// Whether each worker that was named in a call may run the step.
     verdicts: HashMap<WorkerName, bool>,
-    /// A call is under way.
-    pub asking: bool,
-    /// No call before this time.
-    pub ask_from_ms: u64,
+    /// Whether a call for this step is pending.
+    pub call_pending: bool,
+    /// Earliest time of the next call in ms on the monotonic clock.
+    pub next_call_ms: u64,
 }
 
 #[derive(Debug)]
@@ -44,48 +44,49 @@
 }
 
 impl StepAdvice {
-    /// The ticket for a worker, if it is valid now.
+    /// Returns the text of the ticket for a worker if it is valid now.
     pub fn ticket(&self, worker: &WorkerName, now_ms: u64) -> Option<&str> {
         let ticket = self.tickets.get(worker)?;
         (now_ms < ticket.until_ms).then_some(ticket.text.as_str())
     }
 
-    /// The workers for which there are tickets that are valid now.
-    pub fn ticketed(&self, now_ms: u64) -> impl Iterator<Item = &WorkerName> {
+    /// Returns the workers for which there are tickets that are valid now.
+    pub fn workers_with_tickets(&self, now_ms: u64) -> impl Iterator<Item = &WorkerName> {
         self.tickets.iter().filter(move |(_, t)| now_ms < t.until_ms).map(|(worker, _)| worker)
     }
 
-    /// Notes that no worker could be asked about.
-    pub fn nobody_to_ask(&mut self, now_ms: u64) {
-        self.ask_from_ms = now_ms + NOBODY_PAUSE_MS;
+    /// Delays the next call because there were no candidates to name.
+    pub fn delay_without_candidates(&mut self, now_ms: u64) {
+        self.next_call_ms = now_ms + NO_CANDIDATES_PAUSE_MS;
     }
 
-    /// Forgets a ticket that a worker did not accept.
+    /// Removes a ticket that a worker has rejected.
     pub fn remove_ticket(&mut self, worker: &WorkerName) {
         self.tickets.remove(worker);
     }
 
-    /// Whether the worker is known to be allowed; none where that is not known.
+    /// Returns whether a worker may run the step; `None` if that is unknown.
     pub fn verdict(&self, worker: &WorkerName) -> Option<bool> {
         self.verdicts.get(worker).copied()
     }
 
-    /// The workers that are known to be allowed.
+    /// Returns the workers that are known to be allowed.
     pub fn allowed(&self) -> impl Iterator<Item = &WorkerName> {
         self.verdicts.iter().filter(|(_, is_allowed)| **is_allowed).map(|(worker, _)| worker)
     }
 
-    /// Takes in the answer to a call; none where it failed.
-    pub fn answered(
+    /// Records the response to a call that named `asked`; `None` if the call failed. `margin_ms` is subtracted from the
+    /// validity of the tickets.
+    pub fn record_response(
         &mut self,
         asked: &[WorkerName],
         advice: Option<Advice>,
         margin_ms: u64,
         now_ms: u64,
     ) {
-        self.asking = false;
+        self.call_pending = false;
         let Some(advice) = advice else {
-            self.ask_from_ms = now_ms + RETRY_MS;
+            self.next_call_ms = now_ms + RETRY_MS;
             return;
         };
         let until_ms = (now_ms + advice.valid_ms).saturating_sub(margin_ms);
@@ -99,71 +100,72 @@
     }
 }
 
-/// A worker that could be asked about.
+/// A worker that could be named in a call for advice.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// The worker.
+    /// Name of the worker.
     pub worker: WorkerName,
-    /// It is known to be allowed.
-    pub known_good: bool,
-    /// How many of the waiting tasks fit there.
-    pub fits: u64,
+    /// Whether the worker is known to be allowed to run the step.
+    pub known_allowed: bool,
+    /// Number of waiting tasks that fit on the worker.
+    pub task_capacity: u64,
 }
 
-/// Chooses the workers to ask about so that about `wanted` tasks find room, where a share
-/// `good_share` of unknown workers is allowed. `candidates` are in order of preference; those known
-/// to be allowed go first, because they cost as much and are sure.
+/// Chooses the workers to name in a call so that about `target_tasks` tasks fit on the allowed ones, assuming that
+/// `allowed_share` of the unknown workers are allowed. `candidates` are in order of preference. Workers known to be
+/// allowed come first, because they cost no more than others and are certain.
 pub fn choose(
     candidates: &[Candidate],
-    wanted: u64,
-    good_share: f64,
-    most: usize,
+    target_tasks: u64,
+    allowed_share: f64,
+    max_workers: usize,
 ) -> Vec<WorkerName> {
-    let known = candidates.iter().filter(|candidate| candidate.known_good);
-    let unknown = candidates.iter().filter(|candidate| !candidate.known_good);
+    let known = candidates.iter().filter(|candidate| candidate.known_allowed);
+    let unknown = candidates.iter().filter(|candidate| !candidate.known_allowed);
     let mut chosen = Vec::new();
     let mut expected = 0.0;
     for candidate in known.chain(unknown) {
-        if expected >= wanted as f64 || chosen.len() == most {
+        if expected >= target_tasks as f64 || chosen.len() == max_workers {
             break;
         }
-        let share = if candidate.known_good { 1.0 } else { good_share };
-        expected += share * candidate.fits as f64;
+        let share = if candidate.known_allowed { 1.0 } else { allowed_share };
+        expected += share * candidate.task_capacity as f64;
         chosen.push(candidate.worker.clone());
     }
     chosen
 }
 
-/// The instances that can ask, one call each at a time.
+/// The instances that can call the advice service, each with at most one call at a time.
 #[derive(Debug, Default)]
 pub struct Lanes {
     lanes: BTreeMap<Lane, LaneState>,
     load: Load,
 }
 
+/// Whether a lane has a call in progress.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum LaneState {
     Idle,
     Busy {
-        /// Whose step is asked about.
+        /// Queue of the step that the call is for.
         queue: String,
         is_slow: bool,
     },
 }
 
-/// What is counted over all lanes whenever one changes. Each waiting step asks for it after each event, and a
-/// cell has a hundred lanes.
+/// Totals over all lanes, updated whenever one changes. They are read for each waiting step after each event, and a cell
+/// has a hundred lanes.
 #[derive(Debug, Default)]
 struct Load {
-    any_idle: bool,
-    /// A lane is idle that slow calls may take.
-    any_idle_for_slow: bool,
-    /// Slow calls under way, by queue.
+    has_idle: bool,
+    /// Whether a lane that slow calls may use is idle.
+    has_idle_for_slow: bool,
+    /// Number of slow calls in progress by queue.
     slow_calls: HashMap<String, usize>,
 }
 
 impl Lanes {
-    /// Takes in which instances there are now.
+    /// Replaces the list of lanes. Lanes that remain keep their state.
     pub fn set(&mut self, lanes: Vec<Lane>) {
         let old = std::mem::take(&mut self.lanes);
         self.lanes = lanes
@@ -173,74 +175,77 @@
                 (lane, state)
             })
             .collect();
-        self.count();
+        self.update_load();
     }
 
-    /// Takes an idle lane for a call about a step of a queue that takes about `expected_ms`.
+    /// Acquires an idle lane for a call for a step of `queue` that takes about `expected_ms`. Returns `None` if there is
+    /// none that it may use.
     pub fn acquire(&mut self, queue: &str, expected_ms: u64) -> Option<Lane> {
         if !self.may_call(queue, expected_ms) {
             return None;
         }
         let is_slow = expected_ms > SLOW_CALL_MS;
-        let skipped = if is_slow { self.kept_for_quick() } else { 0 };
+        let skipped = if is_slow { self.reserved_for_quick() } else { 0 };
         let idle =
             self.lanes.iter_mut().skip(skipped).find(|(_, state)| **state == LaneState::Idle);
         let (lane, state) = idle?;
         let lane = lane.clone();
         *state = LaneState::Busy { queue: queue.to_owned(), is_slow };
-        self.count();
+        self.update_load();
         Some(lane)
     }
 
-    /// Whether a queue may make one more call that takes so long, if a lane is idle.
+    /// Returns whether a queue may make one more call that takes `expected_ms`, provided that a lane is idle.
     pub fn may_call(&self, queue: &str, expected_ms: u64) -> bool {
         let slow_calls = self.load.slow_calls.get(queue).copied().unwrap_or(0);
-        expected_ms <= SLOW_CALL_MS || slow_calls < self.most_slow_calls()
+        expected_ms <= SLOW_CALL_MS || slow_calls < self.max_slow_calls()
     }
 
-    /// How many slow calls about steps of one queue may be under way.
-    fn most_slow_calls(&self) -> usize {
-        let open_to_slow = self.lanes.len() - self.kept_for_quick();
-        (open_to_slow * QUEUE_LANES_PERCENT / 100).max(1)
+    /// Returns how many slow calls for steps of one queue may be in progress.
+    fn max_slow_calls(&self) -> usize {
+        let open_to_slow = self.lanes.len() - self.reserved_for_quick();
+        (open_to_slow * MAX_QUEUE_SLOW_LANES_PERCENT / 100).max(1)
     }
 
-    fn kept_for_quick(&self) -> usize {
-        self.lanes.len() / QUICK_LANE_IN
+    /// Returns the number of lanes that only quick calls may use.
+    fn reserved_for_quick(&self) -> usize {
+        self.lanes.len() / LANES_PER_QUICK_LANE
     }
 
-    /// Gives a lane back.
+    /// Releases a lane after its call has ended.
     pub fn release(&mut self, lane: &Lane) {
         if let Some(state) = self.lanes.get_mut(lane) {
             *state = LaneState::Idle;
         }
-        self.count();
+        self.update_load();
     }
 
-    /// How many there are.
+    /// Returns the number of lanes.
     pub fn len(&self) -> usize {
         self.lanes.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no lanes.
     pub fn is_empty(&self) -> bool {
         self.lanes.is_empty()
     }
 
-    /// Whether any lane is idle.
+    /// Returns whether any lane is idle.
     pub fn has_idle(&self) -> bool {
-        self.load.any_idle
+        self.load.has_idle
     }
 
-    /// Whether a lane is idle for a call that takes so long.
+    /// Returns whether a lane is idle that a call of `expected_ms` may use.
     pub fn has_idle_for(&self, expected_ms: u64) -> bool {
-        if expected_ms > SLOW_CALL_MS { self.load.any_idle_for_slow } else { self.load.any_idle }
+        if expected_ms > SLOW_CALL_MS { self.load.has_idle_for_slow } else { self.load.has_idle }
     }
 
-    fn count(&mut self) {
+    /// Recomputes [`Load`].
+    fn update_load(&mut self) {
         let is_idle = |state: &LaneState| *state == LaneState::Idle;
-        let kept = self.kept_for_quick();
-        self.load.any_idle = self.lanes.values().any(is_idle);
-        self.load.any_idle_for_slow = self.lanes.values().skip(kept).any(is_idle);
+        let reserved = self.reserved_for_quick();
+        self.load.has_idle = self.lanes.values().any(is_idle);
+        self.load.has_idle_for_slow = self.lanes.values().skip(reserved).any(is_idle);
         self.load.slow_calls.clear();
         for state in self.lanes.values() {
             if let LaneState::Busy { queue, is_slow: true } = state {
--- a/lilacpass-lead/src/advice_queue.rs
+++ b/lilacpass-lead/src/advice_queue.rs
@@ -1,8 +1,8 @@
-//! The waiting steps that may ask for advice now, in the order in which they do.
+//! Queue of the waiting steps that may request advice, in scheduling order.
 //!
-//! Load pattern: hundreds of steps wait for room in a cell with a hundred lanes, of which some are idle at any
-//! time. Most of the steps have asked, or their queue holds all the lanes that it may; going through all of them
-//! after each event leaves a leader of hundreds of workers little time for anything else.
+//! Load pattern: hundreds of steps wait for capacity in a cell with a hundred lanes, some of which are idle at any time.
+//! Most of the steps have already requested advice, or their queue holds all the lanes it may use. Going through all
+//! steps after each event would take most of the time of a leader with hundreds of workers.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -13,90 +13,93 @@
 
 use crate::rank::Rank;
 
-/// Steps that wait and are not being asked about.
+/// Waiting steps without a pending call for advice.
 #[derive(Debug, Default)]
 pub struct AdviceQueue {
-    /// Queues are dozens, and one that has had a step here stays.
+    /// One group per job queue and call time. There are only dozens, so groups are never removed.
     groups: Vec<Group>,
-    /// Steps whose time to ask has not come, with that time on the steady clock.
-    paused: BTreeSet<(u64, StepName)>,
-    steps: HashMap<StepName, Place>,
+    /// Steps that may request advice only later, with that time in ms on the monotonic clock.
+    delayed: BTreeSet<(u64, StepName)>,
+    steps: HashMap<StepName, State>,
 }
 
-/// Steps of one queue, with the shortest time of a call about them.
+/// The steps of one job queue that may request advice now.
 #[derive(Debug)]
 struct Group {
     queue: String,
+    /// Minimum duration of a call for these steps in ms.
     base_ms: u64,
     ranks: BTreeSet<Rank>,
 }
 
+/// Whether a step may request advice now.
 #[derive(Clone, Copy, Debug)]
-enum Place {
-    Open { group: usize, rank: Rank },
-    Paused { until_ms: u64 },
+enum State {
+    Ready { group: usize, rank: Rank },
+    Delayed { until_ms: u64 },
 }
 
 impl AdviceQueue {
-    /// A step may ask. `base_ms` is the shortest time that the call takes.
+    /// Allows a step to request advice from now on. `base_ms` is the minimum duration of the call in ms.
     pub fn enqueue(&mut self, rank: Rank, queue: &str, base_ms: u64) {
         self.remove(rank.step);
-        let group = self.group(queue, base_ms);
+        let group = self.group_index(queue, base_ms);
         self.groups[group].ranks.insert(rank);
-        self.steps.insert(rank.step, Place::Open { group, rank });
+        self.steps.insert(rank.step, State::Ready { group, rank });
     }
 
-    /// A step may ask from a time on the steady clock on.
+    /// Keeps a step from requesting advice until `until_ms` on the monotonic clock.
     pub fn delay(&mut self, step: StepName, until_ms: u64) {
         self.remove(step);
-        self.paused.insert((until_ms, step));
-        self.steps.insert(step, Place::Paused { until_ms });
+        self.delayed.insert((until_ms, step));
+        self.steps.insert(step, State::Delayed { until_ms });
     }
 
-    /// A step is being asked about, or does not wait any more.
+    /// Removes a step that has a pending call or no longer waits.
     pub fn remove(&mut self, step: StepName) {
         match self.steps.remove(&step) {
-            Some(Place::Open { group, rank }) => {
+            Some(State::Ready { group, rank }) => {
                 self.groups[group].ranks.remove(&rank);
             }
-            Some(Place::Paused { until_ms }) => {
-                self.paused.remove(&(until_ms, step));
+            Some(State::Delayed { until_ms }) => {
+                self.delayed.remove(&(until_ms, step));
             }
             None => {}
         }
     }
 
-    /// Takes the steps whose time to ask has come.
+    /// Removes and returns the delayed steps that are due at `now_ms`.
     pub fn take_due(&mut self, now_ms: u64) -> Vec<StepName> {
-        let mut awake = Vec::new();
-        while let Some(&(until_ms, step)) = self.paused.first() {
+        let mut due = Vec::new();
+        while let Some(&(until_ms, step)) = self.delayed.first() {
             if until_ms > now_ms {
                 break;
             }
             self.remove(step);
-            awake.push(step);
+            due.push(step);
         }
-        awake
+        due
     }
 
-    /// The first step after a place in the order whose queue `may_call`, by its name and the shortest time of a
-    /// call.
+    /// Returns the first step after `last` whose queue may make a call. `may_call` receives the name of the queue and the
+    /// minimum duration of the call in ms.
     pub fn next_after(
         &self,
         last: Option<Rank>,
         may_call: impl Fn(&str, u64) -> bool,
     ) -> Option<Rank> {
         let from = last.map_or(Bound::Unbounded, Bound::Excluded);
-        let open = self.groups.iter().filter(|group| !group.ranks.is_empty());
-        let calling = open.filter(|group| may_call(&group.queue, group.base_ms));
-        calling
+        let non_empty = self.groups.iter().filter(|group| !group.ranks.is_empty());
+        let callable = non_empty.filter(|group| may_call(&group.queue, group.base_ms));
+        callable
             .filter_map(|group| group.ranks.range((from, Bound::Unbounded)).next().copied())
             .min()
     }
 
-    fn group(&mut self, queue: &str, base_ms: u64) -> usize {
-        let is_it = |group: &Group| group.queue == queue && group.base_ms == base_ms;
-        if let Some(at) = self.groups.iter().position(is_it) {
+    /// Returns the index of the group for a job queue and call time, and adds the group if it is new.
+    fn group_index(&mut self, queue: &str, base_ms: u64) -> usize {
+        let matches = |group: &Group| group.queue == queue && group.base_ms == base_ms;
+        if let Some(at) = self.groups.iter().position(matches) {
             return at;
         }
         self.groups.push(Group { queue: queue.to_owned(), base_ms, ranks: BTreeSet::new() });
--- a/lilacpass-lead/src/advice_requests.rs
+++ b/lilacpass-lead/src/advice_requests.rs
@@ -1,4 +1,4 @@
-//! Asking for advice about a step, and taking the answer in.
+//! Requests advice for steps and handles the responses.
 
 use std::collections::HashSet;
 
@@ -7,38 +7,39 @@
 
 use crate::{
     advice,
-    candidates::Wanted,
+    candidates::AdviceDemand,
     event::{Advice, Effect, Lane, Now},
     leader::Leader,
     place,
     worker::Worker,
 };
 
-/// Most workers that one call for advice may name.
+/// Maximum number of workers named in one call for advice.
 pub(crate) const MAX_WORKERS_PER_CALL: usize = 100;
-/// Share of workers that are allowed, before a queue has shown its own.
-const GOOD_SHARE_AT_FIRST: f64 = 0.5;
-/// Weight of a new answer in the learned share.
-const GOOD_SHARE_WEIGHT: f64 = 0.1;
-/// Room that is asked about beyond what the waiting tasks take, because others take some of it
-/// before the answer is there.
-const ASK_MARGIN: f64 = 1.5;
-/// Calls that take longer are not made before their step may start: tickets lapse after some 2 s, and the
-/// time of these calls is scarce.
-const MOST_AHEAD_MS: f64 = 50.0;
-/// Share of the time that a call takes at least which may be spent on workers that have no room now.
-const EXTRA_SHARE: f64 = 0.5;
-/// Fewest tasks that the workers asked about should hold.
-const FEWEST_WANTED: u64 = 4;
+/// Assumed share of workers that are allowed, until a queue has had responses of its own.
+const INITIAL_ALLOWED_SHARE: f64 = 0.5;
+/// Weight of a new response in the moving average of the allowed share.
+const ALLOWED_SHARE_WEIGHT: f64 = 0.1;
+/// Factor by which the capacity of the named workers should exceed that of the waiting tasks, because other steps take
+/// some of it before the response arrives.
+const TASK_MARGIN: f64 = 1.5;
+/// Longer calls are not made before their step may start, because tickets expire after about 2 s and time on the lanes
+/// for long calls is scarce.
+const MAX_EARLY_CALL_MS: f64 = 50.0;
+/// Share of the minimum duration of a call that may be added for workers without enough free capacity.
+const EXTRA_WORKERS_TIME_SHARE: f64 = 0.5;
+/// Minimum number of tasks that the named workers should have capacity for.
+const MIN_TARGET_TASKS: u64 = 4;
 
 impl Leader {
-    /// Asks about the steps that wait for this one, of which a task is done, where that takes little time.
+    /// Requests advice for the steps that depend on a step of which a task has completed, if the calls are quick.
     ///
-    /// Its other tasks end soon after. With tickets at hand by then, the end of this step and the starts of the
-    /// next are recorded together.
+    /// The other tasks of the step usually end soon after. If tickets are available by then, the end of this step and
+    /// the starts of the next ones are stored with one append.
     pub(crate) fn request_advice_for_next_steps(&mut self, done: StepName, now: Now) {
         let Some(entry) = self.jobs.get(&done.job) else { return };
-        let is_quick = entry.job.queue.advice.is_some_and(|policy| policy.base_ms <= MOST_AHEAD_MS);
+        let is_quick =
+            entry.job.queue.advice.is_some_and(|policy| policy.base_ms <= MAX_EARLY_CALL_MS);
         if !is_quick || !self.lanes.has_idle() {
             return;
         }
@@ -54,13 +55,13 @@
         }
     }
 
-    /// Asks which workers may run a step, unless a call is under way, its time has not come, or there is
-    /// nobody to ask about.
+    /// Requests advice about which workers may run a step, unless a call is pending, the step must wait before its next
+    /// call, or there are no candidates.
     pub(crate) fn request_advice(&mut self, name: StepName, now: Now) {
         let Some(entry) = self.jobs.get(&name.job) else { return };
         let Some(policy) = entry.job.queue.advice else { return };
         let known = self.advice.get(&name);
-        if known.is_some_and(|a| a.asking || now.steady_ms < a.ask_from_ms) {
+        if known.is_some_and(|a| a.call_pending || now.steady_ms < a.next_call_ms) {
             return;
         }
         let plan = entry.job.step_plan(name.step).clone();
@@ -75,38 +76,42 @@
         self.choose_home(name, &plan, now);
         let Some(entry) = self.jobs.get(&name.job) else { return };
         let share = self.good_shares.get(&entry.job.queue.name).copied();
-        let wanted = Wanted {
-            waiting,
-            tasks: ((waiting as f64 * ASK_MARGIN) as u64).max(FEWEST_WANTED),
-            good_share: share.unwrap_or(GOOD_SHARE_AT_FIRST),
+        let demand = AdviceDemand {
+            waiting_tasks: waiting,
+            target_tasks: ((waiting as f64 * TASK_MARGIN) as u64).max(MIN_TARGET_TASKS),
+            allowed_share: share.unwrap_or(INITIAL_ALLOWED_SHARE),
         };
-        let candidates = self.candidates(name, &plan, &wanted, now);
+        let candidates = self.candidates(name, &plan, &demand, now);
         if candidates.is_empty() {
-            self.advice.entry(name).or_default().nobody_to_ask(now.steady_ms);
+            self.advice.entry(name).or_default().delay_without_candidates(now.steady_ms);
             return self.update_advice_queue(name, now);
         }
-        let mut workers =
-            advice::choose(&candidates, wanted.tasks, wanted.good_share, MAX_WORKERS_PER_CALL);
+        let mut workers = advice::choose(
+            &candidates,
+            demand.target_tasks,
+            demand.allowed_share,
+            MAX_WORKERS_PER_CALL,
+        );
         if workers.is_empty() {
             return;
         }
         if workers.len() == candidates.len() {
-            // Too few have room: most likely the step waits, and asks again.
-            workers.extend(self.unknown_workers(name, &plan, &workers, extra_workers(&policy)));
+            // Too few workers have enough free capacity, so the step will probably wait and need advice again.
+            workers.extend(self.unknown_workers(name, &plan, &workers, max_extra_workers(&policy)));
         }
         let expected_ms = (policy.base_ms + policy.per_worker_ms * workers.len() as f64) as u64;
         let Some(lane) = self.lanes.acquire(&entry.job.queue.name, expected_ms) else { return };
-        self.advice.entry(name).or_default().asking = true;
+        self.advice.entry(name).or_default().call_pending = true;
         self.askers.remove(name);
         log::info!(
             step:% = name, waiting, workers = workers.len(), candidates = candidates.len(),
             expected_ms, lane = lane.0.as_str();
-            "advice asked"
+            "advice requested"
         );
         self.effects.push(Effect::RequestAdvice { lane, step: name, workers, expected_ms });
     }
 
-    /// Notes whether and when a step may ask.
+    /// Updates whether and when a step may request advice.
     pub(crate) fn update_advice_queue(&mut self, step: StepName, now: Now) {
         let policy = self.jobs.get(&step.job).and_then(|entry| {
             let policy = entry.job.queue.advice?;
@@ -116,26 +121,26 @@
             return self.askers.remove(step);
         };
         match self.advice.get(&step) {
-            Some(advice) if advice.asking => self.askers.remove(step),
-            Some(advice) if now.steady_ms < advice.ask_from_ms => {
-                self.askers.delay(step, advice.ask_from_ms);
+            Some(advice) if advice.call_pending => self.askers.remove(step),
+            Some(advice) if now.steady_ms < advice.next_call_ms => {
+                self.askers.delay(step, advice.next_call_ms);
             }
             Some(_) | None => self.askers.enqueue(rank, queue, base_ms),
         }
     }
 
-    /// Up to `most` more workers that have no room now and of which it is not known whether the step may
-    /// run there.
+    /// Returns up to `max` workers, beyond those in `asked`, of which it is unknown whether the step may run there.
+    /// They need not have free capacity now.
     ///
-    /// Which workers may run a step never changes. Asked about the few with room alone, a step for which
-    /// three in ten are allowed learned of one after the other, half a second each, and the calls of such
-    /// steps held nearly all lanes.
+    /// Which workers may run a step never changes, so the result stays useful. When only the few workers with enough
+    /// free capacity were named, a step that three in ten workers may run learned about them one at a time, at half a
+    /// second each, and the calls for such steps held nearly all lanes.
     fn unknown_workers(
         &self,
         name: StepName,
         plan: &v1::WorkStep,
         asked: &[WorkerName],
-        most: usize,
+        max: usize,
     ) -> Vec<WorkerName> {
         let Some(entry) = self.jobs.get(&name.job) else { return Vec::new() };
         let need = place::need(plan);
@@ -149,32 +154,35 @@
                 && advice.is_none_or(|advice| advice.verdict(&worker.entry.name).is_none())
                 && !asked.contains(&worker.entry.name)
         };
-        let most = most.min(MAX_WORKERS_PER_CALL.saturating_sub(asked.len()));
-        let unknown = self.workers.values().filter(is_unknown).take(most);
+        let max = max.min(MAX_WORKERS_PER_CALL.saturating_sub(asked.len()));
+        let unknown = self.workers.values().filter(is_unknown).take(max);
         unknown.map(|worker| worker.entry.name.clone()).collect()
     }
 
+    /// Handles the response to a call for advice.
     pub(crate) fn on_advice_received(
         &mut self,
         lane: &Lane,
         step: StepName,
         asked: &[WorkerName],
-        answer: Option<Advice>,
+        response: Option<Advice>,
         now: Now,
     ) {
         self.lanes.release(lane);
         let Some(entry) = self.jobs.get(&step.job) else { return };
-        let good = answer.as_ref().map(|answer| answer.good.len());
-        log::info!(step:% = step, asked = asked.len(), good:? = good; "advice answered");
-        if let Some(answer) = &answer {
-            let share = answer.good.len() as f64 / asked.len().max(1) as f64;
-            let learned =
-                self.good_shares.entry(entry.job.queue.name.clone()).or_insert(GOOD_SHARE_AT_FIRST);
-            *learned += (share - *learned) * GOOD_SHARE_WEIGHT;
+        let good = response.as_ref().map(|response| response.good.len());
+        log::info!(step:% = step, asked = asked.len(), good:? = good; "advice received");
+        if let Some(response) = &response {
+            let share = response.good.len() as f64 / asked.len().max(1) as f64;
+            let learned = self
+                .good_shares
+                .entry(entry.job.queue.name.clone())
+                .or_insert(INITIAL_ALLOWED_SHARE);
+            *learned += (share - *learned) * ALLOWED_SHARE_WEIGHT;
         }
         let margin_ms = self.options.ticket_margin_ms;
         let known = self.advice.entry(step).or_default();
-        known.answered(asked, answer, margin_ms, now.steady_ms);
+        known.record_response(asked, response, margin_ms, now.steady_ms);
         let is_bad = |worker: &WorkerName| known.verdict(worker) == Some(false);
         for worker in asked.iter().filter(|worker| known.verdict(worker) == Some(true)) {
             self.allowed_steps.entry(worker.clone()).or_default().insert(step);
@@ -189,7 +197,8 @@
     }
 }
 
-/// How many workers a call may name beyond those with room, so that it takes little longer.
-fn extra_workers(policy: &v1::AdvicePolicy) -> usize {
-    (policy.base_ms * EXTRA_SHARE / policy.per_worker_ms.max(f64::MIN_POSITIVE)) as usize
+/// Returns how many workers without enough free capacity a call may name without taking much longer.
+fn max_extra_workers(policy: &v1::AdvicePolicy) -> usize {
+    (policy.base_ms * EXTRA_WORKERS_TIME_SHARE / policy.per_worker_ms.max(f64::MIN_POSITIVE))
+        as usize
 }
--- a/lilacpass-lead/src/candidates.rs
+++ b/lilacpass-lead/src/candidates.rs
@@ -1,4 +1,4 @@
-//! The workers that a call for advice about a step could name, best first.
+//! Selects and orders the workers that a call to the advice service could name for a step.
 
 use std::cmp::Reverse;
 
@@ -16,50 +16,53 @@
     worker::Worker,
 };
 
-/// Most workers that are put in order for one call, of thousands that may come into question. A call names
-/// fewer.
-const MOST_RATED: usize = 2 * MAX_WORKERS_PER_CALL;
-/// Where fewer than one worker in so many has room, those are all put in order.
-const MANY_IN: usize = 8;
+/// Maximum number of workers that are sorted for one call, out of possibly thousands. A call names fewer than this.
+const MAX_RATED_WORKERS: usize = 2 * MAX_WORKERS_PER_CALL;
+/// If fewer than one worker in this many has enough free capacity, all of those are rated and sorted.
+const RATE_ALL_DIVISOR: usize = 8;
 
-/// Workers that are tried in the order in which they suit before all are rated. That is several times as dear for
-/// each worker, and steps that have asked about all that have room search in vain, again and again.
-const MOST_TRIED: usize = 32;
+/// Maximum number of workers that are tried in order of preference before all workers are rated instead. Trying a worker
+/// this way costs several times as much, and a step that has already asked about all workers with enough free capacity
+/// would search in vain again and again.
+const MAX_PREFERRED_TRIES: usize = 32;
 
-/// What a call for advice should find.
+/// How many tasks a call for advice should find workers for.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Wanted {
-    /// Tasks that wait.
-    pub(crate) waiting: u64,
-    /// Tasks that the allowed workers should hold.
-    pub(crate) tasks: u64,
-    /// Share of the workers that is allowed.
-    pub(crate) good_share: f64,
+pub(crate) struct AdviceDemand {
+    /// Number of tasks of the step that are waiting.
+    pub(crate) waiting_tasks: u64,
+    /// Number of tasks that the allowed workers among those named should have capacity for.
+    pub(crate) target_tasks: u64,
+    /// Expected share of unknown workers that are allowed to run the step.
+    pub(crate) allowed_share: f64,
 }
 
-impl Wanted {
-    /// Whether candidates, the best first, hold more than a call names and all tasks that wait.
+impl AdviceDemand {
+    /// Returns whether the candidates, sorted best first, are more than enough for one call and can hold all waiting
+    /// tasks.
     fn has_enough(&self, candidates: &[Rated<'_>]) -> bool {
-        let share = |rated: &Rated<'_>| if rated.known_good { 1.0 } else { self.good_share };
-        // The last is one more than a call names: without it they would seem to be all that there are.
+        let share = |rated: &Rated<'_>| if rated.known_allowed { 1.0 } else { self.allowed_share };
+        // The last candidate is not counted. If the call named all candidates found, the caller would conclude that
+        // there are no others.
         let named = candidates.split_last().map(|(_, named)| named).unwrap_or_default();
-        let expected: f64 = named.iter().map(|rated| share(rated) * rated.fits as f64).sum();
-        let fits: u64 = candidates.iter().map(|rated| rated.fits).sum();
-        expected >= self.tasks as f64 && fits >= self.waiting
+        let expected: f64 =
+            named.iter().map(|rated| share(rated) * rated.task_capacity as f64).sum();
+        let fits: u64 = candidates.iter().map(|rated| rated.task_capacity).sum();
+        expected >= self.target_tasks as f64 && fits >= self.waiting_tasks
     }
 }
 
-/// A worker that could be asked about.
+/// A worker that a call could name, with the values it is sorted by.
 #[derive(Clone, Copy, Debug)]
 struct Rated<'a> {
-    known_good: bool,
+    known_allowed: bool,
     score: place::Score,
     worker: &'a WorkerName,
-    /// How many of the waiting tasks fit there.
-    fits: u64,
+    /// Number of waiting tasks that fit on the worker.
+    task_capacity: u64,
 }
 
-/// What is looked for, for one step.
+/// Parameters of the search for candidates for one step.
 struct Search<'a> {
     name: StepName,
     plan: &'a v1::WorkStep,
@@ -68,18 +71,19 @@
     need: Resources,
     rank: Rank,
     waiting: u64,
-    /// Room counts that less urgent work could make.
-    preempting: bool,
+    /// Whether capacity that could be freed by preempting less urgent work counts as free.
+    with_preemption: bool,
 }
 
 impl Leader {
-    /// Workers that could run tasks of a step if they were allowed to, best first: those with room, or if
-    /// that is too little, those that could be given room. Of many, only as many as are wanted.
+    /// Returns workers that could run tasks of a step if advice permits it, best first. These are workers with enough
+    /// free capacity or, if they cannot hold all waiting tasks, workers on which preemption could free capacity. If
+    /// there are many, only as many as needed are returned.
     pub(crate) fn candidates(
         &self,
         name: StepName,
         plan: &v1::WorkStep,
-        wanted: &Wanted,
+        demand: &AdviceDemand,
         now: Now,
     ) -> Vec<Candidate> {
         let Some(entry) = self.jobs.get(&name.job) else { return Vec::new() };
@@ -91,60 +95,63 @@
             advice: self.advice.get(&name),
             need: place::need(plan),
             rank,
-            waiting: wanted.waiting,
-            preempting: false,
+            waiting: demand.waiting_tasks,
+            with_preemption: false,
         };
-        let roomy = self.with_room(&search, wanted, now);
-        let fits: u64 = roomy.iter().map(|rated| rated.fits).sum();
-        if fits >= wanted.waiting || !self.may_preempt_any(name) || plan.lasting {
-            return to_candidates(&roomy);
+        let fitting = self.rate_fitting(&search, demand, now);
+        let fits: u64 = fitting.iter().map(|rated| rated.task_capacity).sum();
+        if fits >= demand.waiting_tasks || !self.may_preempt_any(name) || plan.lasting {
+            return to_candidates(&fitting);
         }
-        search.preempting = true;
-        to_candidates(&self.among_many(&search, wanted, now))
+        search.with_preemption = true;
+        to_candidates(&self.rate_many(&search, demand, now))
     }
 
-    fn with_room(&self, search: &Search<'_>, wanted: &Wanted, now: Now) -> Vec<Rated<'_>> {
+    /// Rates the workers with enough free capacity and sorts them, best first.
+    fn rate_fitting(&self, search: &Search<'_>, demand: &AdviceDemand, now: Now) -> Vec<Rated<'_>> {
         let service = &search.entry.job.queue.service;
-        let few = self.rooms.fitting(service, &search.need, self.workers.len() / MANY_IN);
+        let few = self.rooms.fitting(service, &search.need, self.workers.len() / RATE_ALL_DIVISOR);
         if let Some(few) = few {
             let few = few.into_iter().filter_map(|name| self.workers.get(name));
-            return best(self.rate_all(search, few, now));
+            return best_rated(self.rate_all(search, few, now));
         }
-        self.among_many(search, wanted, now)
+        self.rate_many(search, demand, now)
     }
 
-    fn among_many(&self, search: &Search<'_>, wanted: &Wanted, now: Now) -> Vec<Rated<'_>> {
-        // The order in which workers suit knows nothing of racks.
+    /// Rates workers when many may be suitable, and sorts them, best first.
+    fn rate_many(&self, search: &Search<'_>, demand: &AdviceDemand, now: Now) -> Vec<Rated<'_>> {
+        // The order of preference in the capacity index does not consider racks.
         let by_rack = !search.plan.affinity_rack.is_empty();
-        let quick = if by_rack { None } else { self.best_of_many(search, wanted, now) };
-        quick.unwrap_or_else(|| best(self.rate_all(search, self.workers.values(), now)))
+        let quick = if by_rack { None } else { self.rate_preferred(search, demand, now) };
+        quick.unwrap_or_else(|| best_rated(self.rate_all(search, self.workers.values(), now)))
     }
 
-    /// The best workers, until they are enough: those that are known to be allowed, then the others in the order
-    /// in which they suit. None where that takes many tries.
-    fn best_of_many(
+    /// Rates workers until there are enough: first those known to be allowed, then the others in order of preference.
+    /// Returns `None` if that would take too many tries.
+    fn rate_preferred(
         &self,
         search: &Search<'_>,
-        wanted: &Wanted,
+        demand: &AdviceDemand,
         now: Now,
     ) -> Option<Vec<Rated<'_>>> {
         let allowed = search.advice.into_iter().flat_map(StepAdvice::allowed);
         let mut allowed: Vec<&Worker> = allowed.filter_map(|name| self.workers.get(name)).collect();
         allowed.sort_unstable_by_key(|worker| &worker.entry.name);
-        let mut rated = best(self.rate_all(search, allowed.into_iter(), now));
+        let mut rated = best_rated(self.rate_all(search, allowed.into_iter(), now));
         let home = search.entry.home_of(search.plan);
-        let need = if search.preempting { Resources::ZERO } else { search.need };
+        let need = if search.with_preemption { Resources::ZERO } else { search.need };
         let names = self.rooms.by_preference(&search.entry.job.queue.service, home, need);
         let mut others = names
-            .take(MOST_TRIED)
+            .take(MAX_PREFERRED_TRIES)
             .filter(|name| search.verdict(name).is_none())
             .filter_map(|name| self.rate(search, self.workers.get(name)?, now));
-        while rated.len() < MOST_RATED && !wanted.has_enough(&rated) {
+        while rated.len() < MAX_RATED_WORKERS && !demand.has_enough(&rated) {
             rated.push(others.next()?);
         }
         Some(rated)
     }
 
+    /// Rates all given workers and drops the unsuitable ones.
     fn rate_all<'a>(
         &'a self,
         search: &Search<'_>,
@@ -154,12 +161,12 @@
         workers.filter_map(|worker| self.rate(search, worker, now)).collect()
     }
 
-    /// How a worker suits; none where it can't run a task of the step, or needs not be asked about.
+    /// Rates a worker for the step. Returns `None` if it cannot run a task of the step or does not need to be named.
     fn rate<'a>(&self, search: &Search<'_>, worker: &'a Worker, now: Now) -> Option<Rated<'a>> {
-        let Search { name, plan, entry, advice, need, rank, waiting, preempting } = search;
-        // What is cheap to tell comes first: in a full cell each waiting step goes through many workers.
-        let most_room = if *preempting { worker.entry.capacity } else { worker.room() };
-        let could_start = need.fits(&most_room)
+        let Search { name, plan, entry, advice, need, rank, waiting, with_preemption } = search;
+        // The cheap checks come first, because in a full cell each waiting step goes through many workers.
+        let max_capacity = if *with_preemption { worker.entry.capacity } else { worker.room() };
+        let could_start = need.fits(&max_capacity)
             && worker.takes_starts(now.steady_ms)
             && place::is_eligible(worker, &entry.job.queue.service, plan);
         if !could_start {
@@ -171,31 +178,37 @@
         if verdict == Some(false) || holds_ticket {
             return None;
         }
-        let room = if *preempting {
+        let capacity = if *with_preemption {
             self.capacity_with_preemption(rank, worker)
         } else {
             self.free_capacity_for(rank, worker)
         };
-        let most = (*waiting).min(self.remaining_task_limit(worker, *name, plan));
-        let fits = place::fits(&room, need, most);
+        let max_tasks = (*waiting).min(self.remaining_task_limit(worker, *name, plan));
+        let task_capacity = place::fits(&capacity, need, max_tasks);
         let score = place::Score::new(worker, plan, entry.home_of(plan));
-        let known_good = verdict == Some(true);
-        (fits > 0).then_some(Rated { known_good, score, worker: worker_name, fits })
+        let known_allowed = verdict == Some(true);
+        (task_capacity > 0).then_some(Rated {
+            known_allowed,
+            score,
+            worker: worker_name,
+            task_capacity,
+        })
     }
 }
 
 impl Search<'_> {
+    /// Returns whether the worker is known to be allowed to run the step; `None` if that is unknown.
     fn verdict(&self, worker: &WorkerName) -> Option<bool> {
         self.advice.and_then(|advice| advice.verdict(worker))
     }
 }
 
-/// The best, in order.
-fn best(mut rated: Vec<Rated<'_>>) -> Vec<Rated<'_>> {
-    let by_preference = |rated: &Rated<'_>| Reverse((rated.known_good, rated.score));
-    if rated.len() > MOST_RATED {
-        rated.select_nth_unstable_by_key(MOST_RATED, by_preference);
-        rated.truncate(MOST_RATED);
+/// Sorts workers, best first, and keeps at most [`MAX_RATED_WORKERS`].
+fn best_rated(mut rated: Vec<Rated<'_>>) -> Vec<Rated<'_>> {
+    let by_preference = |rated: &Rated<'_>| Reverse((rated.known_allowed, rated.score));
+    if rated.len() > MAX_RATED_WORKERS {
+        rated.select_nth_unstable_by_key(MAX_RATED_WORKERS, by_preference);
+        rated.truncate(MAX_RATED_WORKERS);
     }
     rated.sort_by_key(by_preference);
     rated
@@ -204,8 +217,8 @@
 fn to_candidates(rated: &[Rated<'_>]) -> Vec<Candidate> {
     let candidate = |rated: &Rated<'_>| Candidate {
         worker: rated.worker.clone(),
-        known_good: rated.known_good,
-        fits: rated.fits,
+        known_allowed: rated.known_allowed,
+        task_capacity: rated.task_capacity,
     };
     rated.iter().map(candidate).collect()
 }
--- a/lilacpass-lead/src/inspect.rs
+++ b/lilacpass-lead/src/inspect.rs
@@ -196,7 +196,9 @@
         match advice {
             _ if entry.job.queue.advice.is_none() => format!("room ({counts})"),
             None => format!("a call for advice ({counts})"),
-            Some(advice) if advice.asking => format!("the answer of the advice service ({counts})"),
+            Some(advice) if advice.call_pending => {
+                format!("the answer of the advice service ({counts})")
+            }
             Some(_) => format!("room on a worker that the advice allows ({counts})"),
         }
     }
--- a/lilacpass-lead/src/schedule.rs
+++ b/lilacpass-lead/src/schedule.rs
@@ -250,7 +250,7 @@
         let Some(entry) = self.jobs.get(&name.job) else { return Vec::new() };
         if entry.job.queue.advice.is_some() {
             let Some(advice) = self.advice.get(&name) else { return Vec::new() };
-            let ticketed = advice.ticketed(now.steady_ms);
+            let ticketed = advice.workers_with_tickets(now.steady_ms);
             let within = ticketed.filter(|name| subset.is_none_or(|subset| subset.contains(*name)));
             within.filter_map(|name| self.workers.get(name)).collect()
         } else if let Some(subset) = subset {
