--- a/lilacpass-lead/src/advance_reservations.rs
+++ b/lilacpass-lead/src/advance_reservations.rs
@@ -15,16 +15,16 @@
 
 /// How long a step waits in vain until room is kept ahead for it. Most wait for less in a pool that is
 /// merely busy, and room that is kept stands idle until all of it is there.
-const WAITED_MS: u64 = 4_000;
+const MIN_WAIT_MS: u64 = 4_000;
 /// At most one step for so many workers of a pool has room kept ahead, so that most of the pool goes on
 /// with whatever fits.
-const WORKERS_A_STEP: usize = 12;
+const WORKERS_PER_RESERVATION: usize = 12;
 /// One lane in so many, one at least, may be taken by calls about steps for which room is kept ahead.
-const LANES_IN: usize = 4;
+const LANES_PER_CALL: usize = 4;
 /// How long room is kept beyond the time at which it should be there.
 const SLACK_MS: u64 = 1_500;
 /// The longest time for which room is kept ahead, where nobody knows when it falls free.
-const MOST_KEPT_MS: u64 = 10_000;
+const MAX_RESERVATION_MS: u64 = 10_000;
 
 /// A worker that will have room, the best first.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -43,8 +43,8 @@
         if !self.options.uses(Mechanism::AdvanceReservations) {
             return;
         }
-        for name in self.waiting.waiting_since(now.steady_ms.saturating_sub(WAITED_MS)) {
-            self.keep_ahead(name, now);
+        for name in self.waiting.waiting_since(now.steady_ms.saturating_sub(MIN_WAIT_MS)) {
+            self.make_advance_reservation(name, now);
         }
     }
 
@@ -58,19 +58,20 @@
             return;
         }
         let steps = self.reservations.steps_with_advance();
-        let is_asking =
+        let has_pending_call =
             |step: &StepName| self.advice.get(step).is_some_and(|advice| advice.call_pending);
-        let asking = steps.iter().filter(|step| is_asking(step)).count();
-        let may_ask = (self.lanes.len() / LANES_IN).max(1).saturating_sub(asking);
-        let steps: Vec<StepName> = steps.into_iter().filter(|step| !is_asking(step)).collect();
-        for step in steps.into_iter().take(may_ask) {
+        let pending = steps.iter().filter(|step| has_pending_call(step)).count();
+        let max_calls = (self.lanes.len() / LANES_PER_CALL).max(1).saturating_sub(pending);
+        let steps: Vec<StepName> =
+            steps.into_iter().filter(|step| !has_pending_call(step)).collect();
+        for step in steps.into_iter().take(max_calls) {
             self.request_advice(step, now);
         }
     }
 
     /// Keeps the next room that can hold a task of a step (all that wait, for a gang), if few others have
     /// room kept ahead.
-    fn keep_ahead(&mut self, name: StepName, now: Now) {
+    fn make_advance_reservation(&mut self, name: StepName, now: Now) {
         if self.reservations.has(name) {
             return;
         }
@@ -79,11 +80,11 @@
         let plan = entry.job.step_plan(name.step);
         let service = &entry.job.queue.service;
         let pool = self.pool_sizes.get(service).copied().unwrap_or(0);
-        if self.reservations.advance_count(service) >= (pool / WORKERS_A_STEP).max(1) {
+        if self.reservations.advance_count(service) >= (pool / WORKERS_PER_RESERVATION).max(1) {
             return;
         }
         let wanted = if plan.gang { u64::from(plan.count) } else { 1 };
-        let mut offers = self.rooms_ahead(name, plan, &rank, now);
+        let mut offers = self.advance_offers(name, plan, &rank, now);
         offers.sort();
         if (offers.len() as u64) < wanted {
             return;
@@ -91,7 +92,7 @@
         offers.truncate(wanted as usize);
         let need = place::need(plan);
         let wait_ms = offers.iter().map(|offer| offer.wait_ms).max().unwrap_or(0);
-        let until_ms = now.steady_ms + (wait_ms + SLACK_MS).min(MOST_KEPT_MS);
+        let until_ms = now.steady_ms + (wait_ms + SLACK_MS).min(MAX_RESERVATION_MS);
         let shares: Vec<Share> = offers.into_iter().map(|offer| (offer.worker, need)).collect();
         log::info!(step:% = name, wait_ms, workers = shares.len(); "room kept ahead");
         let service = service.clone();
@@ -100,7 +101,7 @@
 
     /// The workers that can hold a task of a step. Those of which it is not known whether it may run there
     /// are among them: where all room is taken at once, it never gets to ask.
-    fn rooms_ahead(
+    fn advance_offers(
         &self,
         name: StepName,
         plan: &v1::WorkStep,
@@ -117,7 +118,7 @@
             })
             .filter(|worker| self.remaining_task_limit(worker, name, plan) > 0)
             .filter_map(|worker| {
-                let wait_ms = self.wait_for_room_ms(worker, plan, rank, now)?;
+                let wait_ms = self.time_until_free_ms(worker, plan, rank, now)?;
                 let is_unknown = verdict(worker).is_none();
                 Some(Offer { is_unknown, wait_ms, worker: worker.entry.name.clone() })
             })
@@ -126,7 +127,7 @@
 
     /// The time after which a worker will have room for a task beside what is kept there for others; none
     /// where tasks that last, or what is kept, take too much.
-    fn wait_for_room_ms(
+    fn time_until_free_ms(
         &self,
         worker: &Worker,
         plan: &v1::WorkStep,
@@ -134,27 +135,27 @@
         now: Now,
     ) -> Option<u64> {
         let need = place::need(plan);
-        let kept = self.reservations.reserved_before(rank, &worker.entry.name);
+        let reserved = self.reservations.reserved_before(rank, &worker.entry.name);
         let mut ends: Vec<(u64, Resources)> = worker
             .runs
             .iter()
             .filter_map(|((task, _), given)| {
                 let running = self.jobs.get(&task.step.job)?.job.step_plan(task.step.step);
                 let estimate_ms = u64::from(running.estimate_ms);
-                let left_ms = given
+                let remaining_ms = given
                     .progress
                     .and_then(|seen| seen.left_ms(now.steady_ms))
                     .unwrap_or(estimate_ms);
-                (!running.lasting).then_some((left_ms, given.need))
+                (!running.lasting).then_some((remaining_ms, given.need))
             })
             .collect();
-        ends.sort_by_key(|(left_ms, _)| *left_ms);
+        ends.sort_by_key(|(remaining_ms, _)| *remaining_ms);
         let mut freed = Resources::ZERO;
         let mut wait_ms = 0;
         let mut ends = ends.into_iter();
-        while !need.fits(&worker.room_after(&freed).minus(&kept)) {
-            let (left_ms, need) = ends.next()?;
-            wait_ms = left_ms;
+        while !need.fits(&worker.room_after(&freed).minus(&reserved)) {
+            let (remaining_ms, need) = ends.next()?;
+            wait_ms = remaining_ms;
             freed = freed.plus(&need);
         }
         Some(wait_ms)
--- a/lilacpass-lead/src/candidates.rs
+++ b/lilacpass-lead/src/candidates.rs
@@ -184,7 +184,7 @@
             self.free_capacity_for(rank, worker)
         };
         let max_tasks = (*waiting).min(self.remaining_task_limit(worker, *name, plan));
-        let task_capacity = place::fits(&capacity, need, max_tasks);
+        let task_capacity = place::count_fitting(&capacity, need, max_tasks);
         let score = place::Score::new(worker, plan, entry.home_of(plan));
         let known_allowed = verdict == Some(true);
         (task_capacity > 0).then_some(Rated {
--- a/lilacpass-lead/src/capacity_index.rs
+++ b/lilacpass-lead/src/capacity_index.rs
@@ -1,8 +1,8 @@
-//! Workers by their room, so that a step that waits finds those that can hold it, and those that suit it best,
-//! without going through all.
+//! Index of the workers by free capacity. It finds the workers on which a task fits, and the most suitable ones, without
+//! a scan of all workers.
 //!
-//! Load pattern: a full cell of a thousand workers, in which hundreds of steps look for room again and again and
-//! hardly a worker has any.
+//! Load pattern: a full cell of a thousand workers, in which hundreds of steps look for capacity again and again and
+//! hardly any worker has some.
 
 use std::{
     cmp::Reverse,
@@ -14,86 +14,90 @@
 
 use crate::{leader::Leader, place, worker::Worker};
 
-/// Where more than one worker in so many has room, going through all is quicker than putting those in order.
-const FEW_IN: usize = 8;
+/// If more than one worker in this many fits, a scan of all workers is faster than sorting those that fit.
+const INDEX_LOOKUP_DIVISOR: usize = 8;
 
-/// The workers of each pool, by free processors.
+/// Index of the workers of each pool that can get work.
 #[derive(Debug, Default)]
 pub struct CapacityIndex {
-    /// Pools are few, and one that has had a worker stays.
+    /// One pool per service. There are only few, so pools are never removed.
     pools: Vec<Pool>,
-    places: HashMap<WorkerName, Place>,
+    entries: HashMap<WorkerName, IndexEntry>,
 }
 
+/// The indexed workers of one service.
 #[derive(Debug)]
 struct Pool {
     service: String,
-    /// By free processors in thousandths, and by name, what is free.
+    /// Free resources by free CPU in thousandths of a core and worker name.
     by_cpu: BTreeMap<(u64, WorkerName), Resources>,
-    /// By data centre, the workers in the order in which they suit, with what is free.
-    by_score: BTreeMap<String, BTreeMap<Preferred, Resources>>,
+    /// For each data centre, the free resources of its workers in order of preference.
+    by_score: BTreeMap<String, BTreeMap<PreferenceKey, Resources>>,
 }
 
+/// The position of a worker in the index.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Place {
+struct IndexEntry {
     pool: usize,
-    room: Resources,
+    free: Resources,
     data_centre: String,
-    preferred: Preferred,
+    key: PreferenceKey,
 }
 
-/// A worker by what its score takes from its room; the least comes first.
+/// Sort key of a worker, made of the parts of [`place::Score`] that depend on its free capacity. The smallest key is the
+/// most preferred.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Preferred {
+struct PreferenceKey {
     used_accelerators: Reverse<u64>,
     free_share: Reverse<u64>,
     worker: WorkerName,
 }
 
 impl CapacityIndex {
-    /// Notes what a worker has free, and whether it can get work at all. To be called whenever either changes.
+    /// Updates the entry of a worker. It must be called whenever the worker's free capacity changes, or whether it can
+    /// get work at all.
     ///
-    /// One that has not answered this leader can't. Right after a change of the leader none has, and hundreds of
-    /// steps look for room.
+    /// A worker that has not yet accepted this leader's epoch cannot get work and is left out. Right after a take-over
+    /// this holds for all workers, while hundreds of steps look for capacity.
     pub fn update(&mut self, worker: &Worker) {
         let name = &worker.entry.name;
         if !worker.is_open() {
             return self.remove(name);
         }
-        let room = worker.room();
-        let place = Place {
-            pool: self.pool(&worker.entry.service),
-            room,
+        let free = worker.room();
+        let entry = IndexEntry {
+            pool: self.pool_index(&worker.entry.service),
+            free,
             data_centre: worker.entry.data_centre.clone(),
-            preferred: Preferred {
+            key: PreferenceKey {
                 used_accelerators: Reverse(worker.used.accelerators.0),
-                free_share: Reverse(place::free_share(&room, &worker.entry.capacity)),
+                free_share: Reverse(place::free_share(&free, &worker.entry.capacity)),
                 worker: name.clone(),
             },
         };
-        if self.places.get(name) == Some(&place) {
+        if self.entries.get(name) == Some(&entry) {
             return;
         }
         self.remove(name);
-        let pool = &mut self.pools[place.pool];
-        pool.by_cpu.insert((room.cpu.0, name.clone()), room);
-        let centre = pool.by_score.entry(place.data_centre.clone()).or_default();
-        centre.insert(place.preferred.clone(), room);
-        self.places.insert(name.clone(), place);
+        let pool = &mut self.pools[entry.pool];
+        pool.by_cpu.insert((free.cpu.0, name.clone()), free);
+        let data_centre = pool.by_score.entry(entry.data_centre.clone()).or_default();
+        data_centre.insert(entry.key.clone(), free);
+        self.entries.insert(name.clone(), entry);
     }
 
-    /// A worker is gone.
+    /// Removes a worker.
     pub fn remove(&mut self, worker: &WorkerName) {
-        let Some(place) = self.places.remove(worker) else { return };
-        let pool = &mut self.pools[place.pool];
-        pool.by_cpu.remove(&(place.room.cpu.0, worker.clone()));
-        if let Some(centre) = pool.by_score.get_mut(&place.data_centre) {
-            centre.remove(&place.preferred);
+        let Some(entry) = self.entries.remove(worker) else { return };
+        let pool = &mut self.pools[entry.pool];
+        pool.by_cpu.remove(&(entry.free.cpu.0, worker.clone()));
+        if let Some(data_centre) = pool.by_score.get_mut(&entry.data_centre) {
+            data_centre.remove(&entry.key);
         }
     }
 
-    /// The workers of a pool with room for `need`, in the order in which they suit a step: those of its home first, then by what is in
-    /// use and free there, then by name.
+    /// Returns the workers of a service on which `need` fits, in order of preference: workers in the home data centre
+    /// first, then by accelerators in use, free share of CPU, and name.
     pub fn by_preference(
         &self,
         service: &str,
@@ -102,43 +106,46 @@
     ) -> impl Iterator<Item = &WorkerName> {
         let pool = self.pools.iter().find(|pool| pool.service == service);
         let at_home = pool.and_then(|pool| pool.by_score.get(home?));
-        let centres = pool.into_iter().flat_map(|pool| &pool.by_score);
-        let others = centres.filter(move |(centre, _)| Some(centre.as_str()) != home);
+        let data_centres = pool.into_iter().flat_map(|pool| &pool.by_score);
+        let others =
+            data_centres.filter(move |(data_centre, _)| Some(data_centre.as_str()) != home);
         let mut others: Vec<_> = others.map(|(_, workers)| workers.iter()).collect();
         let merged = std::iter::from_fn(move || {
             let first = others.iter_mut().min_by_key(|rest| {
-                // Those that are used up come last.
-                let next = btree_map::Iter::clone(rest).next().map(|(preferred, _)| preferred);
+                // Exhausted iterators come last.
+                let next = btree_map::Iter::clone(rest).next().map(|(key, _)| key);
                 (next.is_none(), next)
             });
             first.and_then(Iterator::next)
         });
         let in_order = at_home.into_iter().flatten().chain(merged);
-        in_order.filter(move |(_, room)| need.fits(room)).map(|(preferred, _)| &preferred.worker)
+        in_order.filter(move |(_, free)| need.fits(free)).map(|(key, _)| &key.worker)
     }
 
-    /// The workers of a pool with room for `need`, in order of their names; none where they are more than
-    /// `most`.
+    /// Returns the workers of a service on which `need` fits, sorted by name; `None` if there are more than
+    /// `max_workers`.
     pub fn fitting(
         &self,
         service: &str,
         need: &Resources,
-        most: usize,
+        max_workers: usize,
     ) -> Option<Vec<&WorkerName>> {
         let pool = self.pools.iter().find(|pool| pool.service == service);
-        let most_first = pool.into_iter().flat_map(|pool| pool.by_cpu.iter().rev());
-        let roomy = most_first
+        let descending = pool.into_iter().flat_map(|pool| pool.by_cpu.iter().rev());
+        let fitting = descending
             .take_while(|((cpu_milli, _), _)| *cpu_milli >= need.cpu.0)
-            .filter(|(_, room)| need.fits(room));
-        let mut names: Vec<&WorkerName> = roomy.take(most + 1).map(|((_, name), _)| name).collect();
-        if names.len() > most {
+            .filter(|(_, free)| need.fits(free));
+        let mut names: Vec<&WorkerName> =
+            fitting.take(max_workers + 1).map(|((_, name), _)| name).collect();
+        if names.len() > max_workers {
             return None;
         }
         names.sort_unstable();
         Some(names)
     }
 
-    fn pool(&mut self, service: &str) -> usize {
+    /// Returns the index of the pool of a service, and adds the pool if it is new.
+    fn pool_index(&mut self, service: &str) -> usize {
         if let Some(at) = self.pools.iter().position(|pool| pool.service == service) {
             return at;
         }
@@ -149,9 +156,10 @@
 }
 
 impl Leader {
-    /// Workers in order of their names, among them all of a service with room for `need`.
+    /// Returns workers sorted by name, which include all workers of a service on which `need` fits. Others may be
+    /// included too.
     pub(crate) fn workers_fitting(&self, service: &str, need: &Resources) -> Vec<&Worker> {
-        match self.rooms.fitting(service, need, self.workers.len() / FEW_IN) {
+        match self.rooms.fitting(service, need, self.workers.len() / INDEX_LOOKUP_DIVISOR) {
             Some(few) => few.into_iter().filter_map(|name| self.workers.get(name)).collect(),
             None => self.workers.values().collect(),
         }
--- a/lilacpass-lead/src/hosts.rs
+++ b/lilacpass-lead/src/hosts.rs
@@ -67,7 +67,8 @@
     let mut rooms: BTreeMap<String, u64> = BTreeMap::new();
     for host in hosts.iter() {
         let most = host.remaining_task_limit.min(count as u64);
-        *rooms.entry(host.rack.clone()).or_default() += place::fits(&host.room, &need, most);
+        *rooms.entry(host.rack.clone()).or_default() +=
+            place::count_fitting(&host.room, &need, most);
     }
     let best = rooms.into_iter().max_by_key(|(_, room)| *room);
     if let Some((rack, room)) = best
--- a/lilacpass-lead/src/pending_changes.rs
+++ b/lilacpass-lead/src/pending_changes.rs
@@ -1,58 +1,58 @@
-//! What has changed since the last round of placing.
+//! Tracks what has changed since the previous scheduling round.
 //!
-//! Load pattern: a full cell with hundreds of waiting steps, in which a task ends each millisecond.
-//! Looking at every step and every worker after each of these took a sixth of the leader's processor at
-//! 350 workers. Only a step that changed itself, or that a worker with new room is open to, can be
-//! placed when it could not be before.
+//! Load pattern: a full cell with hundreds of waiting steps, in which a task ends every millisecond. Reconsidering every
+//! step and every worker after each end took a sixth of the leader's CPU with 350 workers. A step that could not be
+//! placed before can only become placeable if the step itself has changed, or if a worker that it may use has more free
+//! capacity.
 
 use std::{collections::BTreeSet, mem};
 
 use lilacpass_jobs::{StepName, WorkerName};
 
-/// Time between rounds that look at everything: what changes with time alone, as the end of a
-/// quarantine, is noticed so late.
-const ALL_INTERVAL_MS: u64 = 100;
+/// Time in ms between full rounds, which consider all steps and workers. It bounds the delay until a change that comes
+/// with time alone, such as the end of a quarantine, takes effect.
+const FULL_ROUND_INTERVAL_MS: u64 = 100;
 
-/// What is noted between rounds.
+/// Changes since the previous round.
 #[derive(Debug, Default)]
 pub struct PendingChanges {
     freed: BTreeSet<WorkerName>,
     changed: BTreeSet<StepName>,
-    next_all_ms: u64,
+    next_full_round_ms: u64,
 }
 
-/// What one round looks at.
+/// The steps and workers that one round considers.
 #[derive(Debug, Default)]
 pub struct RoundScope {
-    /// Everything.
+    /// Whether this is a full round, which considers all steps and workers.
     pub all: bool,
-    /// Workers that have more room, or take starts again.
+    /// Workers that have more free capacity or accept starts again.
     pub freed: BTreeSet<WorkerName>,
-    /// Steps with more tasks to start, or with new advice.
+    /// Steps that have more tasks to start or new advice.
     pub changed: BTreeSet<StepName>,
 }
 
 impl PendingChanges {
-    /// A worker has more room, or takes starts again.
+    /// Records that a worker has more free capacity or accepts starts again.
     pub fn mark_worker_freed(&mut self, worker: &WorkerName) {
         self.freed.insert(worker.clone());
     }
 
-    /// A step has more tasks to start, or new advice.
+    /// Records that a step has more tasks to start or new advice.
     pub fn mark_step_changed(&mut self, step: StepName) {
         self.changed.insert(step);
     }
 
-    /// How many steps have changed that no round has looked at since.
+    /// Returns the number of changed steps that no round has considered since.
     pub fn changed_steps(&self) -> usize {
         self.changed.len()
     }
 
-    /// Takes what the round at `now_ms` looks at.
+    /// Takes the recorded changes and returns what the round at `now_ms` considers.
     pub fn take(&mut self, now_ms: u64) -> RoundScope {
-        let all = now_ms >= self.next_all_ms;
+        let all = now_ms >= self.next_full_round_ms;
         if all {
-            self.next_all_ms = now_ms + ALL_INTERVAL_MS;
+            self.next_full_round_ms = now_ms + FULL_ROUND_INTERVAL_MS;
         }
         let freed = mem::take(&mut self.freed);
         let changed = mem::take(&mut self.changed);
--- a/lilacpass-lead/src/preempt.rs
+++ b/lilacpass-lead/src/preempt.rs
@@ -1,8 +1,8 @@
-//! Stops work that can wait, so that urgent work finds room.
+//! Preemption: stops less urgent work to free capacity for urgent work.
 //!
-//! Load pattern: a pool that is nearly full of small tasks. A gang that needs most of a worker waits until
-//! all of them happen to have ended, while small ones of less urgent queues start there again and again.
-//! Work that saves its progress loses half a second when it is stopped and goes on elsewhere.
+//! Load pattern: a pool that is nearly full of small tasks. A gang that needs most of a worker would wait until all tasks
+//! there happen to have ended, while small tasks of less urgent queues start there again and again. A task that saves
+//! checkpoints loses only half a second when it is stopped and resumed elsewhere.
 
 use lilacpass_core::Resources;
 use lilacpass_jobs::{StepName, WorkerName};
@@ -17,16 +17,16 @@
     worker::{Given, Phase, RunKey, Worker},
 };
 
-/// How long room is kept for a step once work was stopped for it. A stop takes up to 0.9 s, by the
-/// platform's bound, and is heard of in the next look.
-const KEPT_MS: u64 = 1_500;
-/// Times that a task is stopped for others at most, so that it is done in the end.
-const MOST_STOPS: u32 = 3;
+/// Time in ms for which capacity is reserved for a step after preemption. A stop takes up to 0.9 s, which is the
+/// platform's bound, and the leader learns of it from the next poll.
+const RESERVATION_MS: u64 = 1_500;
+/// Maximum number of times that a task is preempted, so that it completes eventually.
+const MAX_PREEMPTIONS_PER_TASK: u32 = 3;
 
-/// A run that may be stopped for more urgent work, and what it takes.
+/// A run that may be stopped for more urgent work, and the resources it uses.
 type Victim = (RunKey, Resources);
 
-/// How one worker can hold tasks of a step.
+/// How many tasks of a step a worker can hold, and what must be stopped for them.
 struct Offer {
     worker: WorkerName,
     tasks: u64,
@@ -34,13 +34,14 @@
 }
 
 impl Leader {
-    /// Whether any work is less urgent than a step, as of the last review.
+    /// Returns whether any open job was less urgent than this step at the last review.
     pub(crate) fn may_preempt_any(&self, name: StepName) -> bool {
         let entry = self.jobs.get(&name.job);
         entry.is_some_and(|entry| entry.job.queue.priority < self.least_urgent)
     }
 
-    /// The room that a step with this rank would find on a worker if work that can wait were stopped.
+    /// Returns the capacity of a worker that would be free for a step with this rank if all less urgent work that may be
+    /// preempted were stopped.
     pub(crate) fn capacity_with_preemption(&self, rank: &Rank, worker: &Worker) -> Resources {
         let victims = self.victims(worker, rank.priority);
         let freed = victims.iter().fold(Resources::ZERO, |sum, (_, need)| sum.plus(need));
@@ -49,8 +50,8 @@
             .minus(&self.reservations.reserved_before(rank, &worker.entry.name))
     }
 
-    /// Stops work of less urgent queues where tasks of a step may start, if that gives room to tasks of it
-    /// (to all that wait, for a gang), and keeps that room for them.
+    /// Stops work of less urgent queues on workers where the step may start, if that frees capacity for at least one
+    /// waiting task (for all of them in a gang), and reserves the capacity for the step.
     pub(crate) fn preempt_for(
         &mut self,
         name: StepName,
@@ -80,7 +81,7 @@
         if stops.is_empty() || plan.gang && left > 0 {
             return;
         }
-        self.reservations.set(rank, shares, now.steady_ms + KEPT_MS);
+        self.reservations.set(rank, shares, now.steady_ms + RESERVATION_MS);
         for (worker, key) in stops {
             log::info!(task:% = key.0, run = key.1, worker:% = worker, step:% = name; "run preempted");
             if let Some(entry) = self.jobs.get_mut(&key.0.step.job) {
@@ -90,8 +91,8 @@
         }
     }
 
-    /// The workers for which a step holds tickets, with the tasks that each could hold and what would
-    /// have to stop for them.
+    /// Returns the workers that the step may start on, each with the number of tasks that fit there and the runs that
+    /// must be stopped for them.
     fn offers(
         &self,
         name: StepName,
@@ -102,13 +103,13 @@
     ) -> Vec<Offer> {
         let need = place::need(plan);
         let offer = |worker: &&Worker| {
-            let most = waiting.min(self.remaining_task_limit(worker, name, plan));
-            let kept = self.reservations.reserved_before(rank, &worker.entry.name);
+            let max_tasks = waiting.min(self.remaining_task_limit(worker, name, plan));
+            let reserved = self.reservations.reserved_before(rank, &worker.entry.name);
             let fits = |freed: &Resources| {
-                place::fits(&worker.room_after(freed).minus(&kept), &need, most)
+                place::count_fitting(&worker.room_after(freed).minus(&reserved), &need, max_tasks)
             };
             let victims = self.victims(worker, rank.priority);
-            let (tasks, stops) = cheapest(most, victims, fits);
+            let (tasks, stops) = minimal_victims(max_tasks, victims, fits);
             (tasks > 0).then(|| Offer { worker: worker.entry.name.clone(), tasks, stops })
         };
         self.allowed_workers(name, None, now)
@@ -118,7 +119,7 @@
             .collect()
     }
 
-    /// Runs on a worker that may be stopped for work of this priority, those that began last first.
+    /// Returns the runs on a worker that may be stopped for work of this priority, most recently started first.
     fn victims(&self, worker: &Worker, priority: u32) -> Vec<Victim> {
         let mut victims: Vec<(u64, Victim)> = worker
             .runs
@@ -130,8 +131,8 @@
         victims.into_iter().map(|(_, victim)| victim).collect()
     }
 
-    /// Whether a run may be stopped for work of this priority: it is less urgent, goes on where it was,
-    /// is not about to end, and has not been stopped too often.
+    /// Returns whether a run may be stopped for work of this priority. It must be less urgent, able to resume from a
+    /// checkpoint, not about to end, and not preempted too often before.
     fn may_preempt(&self, key: RunKey, given: &Given, priority: u32) -> bool {
         let Some(entry) = self.jobs.get(&key.0.step.job) else { return false };
         let plan = entry.job.step_plan(key.0.step.step);
@@ -141,12 +142,13 @@
             && !plan.gang
             && !plan.lasting
             && !plan.fills
-            && stops < MOST_STOPS
+            && stops < MAX_PREEMPTIONS_PER_TASK
             && matches!(given.phase, Phase::Running { .. })
             && !given.progress.is_some_and(|seen| seen.is_nearly_done())
     }
 }
 
+/// Returns the time since when a run is known to be running, on the monotonic clock; 0 if it is not running.
 fn since_ms(given: &Given) -> u64 {
     match given.phase {
         Phase::Running { since_ms } => since_ms,
@@ -154,10 +156,10 @@
     }
 }
 
-/// How many tasks, at most `most`, a worker can hold, and the fewest victims that have to stop for them.
-/// `fits` tells how many tasks it holds once runs that take so much have ended.
-fn cheapest(
-    most: u64,
+/// Returns how many tasks, up to `max_tasks`, a worker can hold, and the victims that must be stopped for them. `fits`
+/// returns how many tasks fit once the given resources are freed.
+fn minimal_victims(
+    max_tasks: u64,
     victims: Vec<Victim>,
     fits: impl Fn(&Resources) -> u64,
 ) -> (u64, Vec<Victim>) {
@@ -165,14 +167,14 @@
     let mut tasks = fits(&freed);
     let mut stops: Vec<Victim> = Vec::new();
     for victim in victims {
-        if tasks == most {
+        if tasks == max_tasks {
             break;
         }
         freed = freed.plus(&victim.1);
         tasks = fits(&freed);
         stops.push(victim);
     }
-    // Some were taken in vain: they take little of what was short.
+    // Keep only the victims that are needed. Some may free too little of the resource that is short.
     let mut kept = Vec::new();
     for victim in stops {
         let without = freed.minus(&victim.1);
--- a/lilacpass-lead/src/requests.rs
+++ b/lilacpass-lead/src/requests.rs
@@ -1,4 +1,4 @@
-//! What callers ask, and what they are told.
+//! Handles client requests.
 
 use lilacpass_jobs::{Job, JobKey, Outcome, plan};
 use lilacpass_schema::v1;
@@ -11,27 +11,29 @@
     worker::Worker,
 };
 
-/// Shortest and longest time after which a caller is asked to come back.
+/// Minimum and maximum time in ms after which a refused client is asked to retry.
 const RETRY_BOUNDS_MS: (u64, u64) = (1_000, 3_000);
 
-/// When to come back after an outage has lasted for `outage_ms`: after as long again, within bounds.
-/// An outage that has lasted for long will most likely last for longer, and callers try only a few
-/// times; the bound keeps them from staying away long after it has ended.
+/// Returns the time in ms after which a client should retry when an outage has lasted for `outage_ms`: the same time
+/// again, within [`RETRY_BOUNDS_MS`]. An outage that has lasted long will probably last longer, and clients retry only a
+/// few times. The upper bound prevents them from waiting long after the outage has ended.
 pub fn retry_after_ms(outage_ms: u64) -> u32 {
-    let (least_ms, most_ms) = RETRY_BOUNDS_MS;
-    outage_ms.clamp(least_ms, most_ms) as u32
+    let (min_ms, max_ms) = RETRY_BOUNDS_MS;
+    outage_ms.clamp(min_ms, max_ms) as u32
 }
 
 impl Leader {
+    /// Handles a client request.
     pub(crate) fn on_request(&mut self, request_id: RequestId, request: Request, now: Now) {
         match request {
             Request::Submit { job, plan, queue } => self.submit(request_id, job, plan, queue, now),
-            Request::State(job) => self.tell_state(request_id, job, now),
+            Request::State(job) => self.respond_with_state(request_id, job, now),
             Request::Cancel(job) => self.cancel(request_id, job, now),
-            Request::Pending { queue } => self.tell_pending(request_id, &queue, now),
+            Request::Pending { queue } => self.respond_with_pending(request_id, &queue, now),
         }
     }
 
+    /// Accepts a new job, or refuses it. Submitting the same job again is not an error.
     fn submit(
         &mut self,
         request_id: RequestId,
@@ -41,8 +43,8 @@
         now: Now,
     ) {
         if let Some(entry) = self.jobs.get(&key) {
-            let same = entry.job.plan == plan;
-            if !same {
+            let is_same = entry.job.plan == plan;
+            if !is_same {
                 return self.reply(request_id, Response::Conflict);
             }
             if entry.stored {
@@ -53,19 +55,19 @@
         if let Err(err) = plan::check(&plan) {
             return self.reply(request_id, Response::Invalid(err.to_string()));
         }
-        if let Some(reason) = self.impossible(&plan, &queue) {
+        if let Some(reason) = self.find_impossible_step(&plan, &queue) {
             return self.reply(request_id, Response::Invalid(reason));
         }
-        if self.store_takes_nothing(now) {
-            return self.refuse_for_store(request_id, key, now);
+        if self.is_store_stuck(now) {
+            return self.refuse_while_store_stuck(request_id, key, now);
         }
-        if let Some(retry_after_ms) = self.refuses_new_jobs(now) {
-            return self.refuse_for_pressure(request_id, key, retry_after_ms);
+        if let Some(retry_after_ms) = self.pressure_retry_ms(now) {
+            return self.refuse_while_behind(request_id, key, retry_after_ms);
         }
         log::info!(
             job:% = key, queue = queue.name.as_str(), steps = plan.steps.len(),
             waiting = self.waiting.len();
-            "job taken"
+            "job accepted"
         );
         let record =
             v1::PlanRecord { plan: Some(plan), queue: Some(queue), accepted_ms: now.unix_ms };
@@ -76,7 +78,7 @@
         self.reindex(key, now);
     }
 
-    /// A job is stored: its caller may be told.
+    /// Responds to the client of a submitted job, which is now stored.
     pub(crate) fn confirm_submission(&mut self, request_id: RequestId, key: JobKey) {
         if let Some(entry) = self.jobs.get_mut(&key) {
             entry.stored = true;
@@ -84,55 +86,56 @@
         self.reply(request_id, Response::Done);
     }
 
-    fn refuse_for_store(&mut self, request_id: RequestId, key: JobKey, now: Now) {
+    /// Refuses a job because the store is stuck.
+    fn refuse_while_store_stuck(&mut self, request_id: RequestId, key: JobKey, now: Now) {
         let reason = "the store takes nothing";
         log::info!(job:% = key, reason, stuck_ms = self.store_stuck_ms(now); "job refused");
         let retry_after_ms = retry_after_ms(self.store_stuck_ms(now));
         self.reply(request_id, Response::Refused { reason, retry_after_ms });
     }
 
-    /// Whether the leader is too far behind to take new jobs, and if so, when their callers may come back.
+    /// Returns the time in ms after which a client should retry if the leader is too far behind to accept new jobs.
     ///
-    /// A leader that may have been replaced refuses none: its successor may have taken the job from an earlier
-    /// try of the caller, and a caller who is refused believes that the job never runs.
-    fn refuses_new_jobs(&mut self, now: Now) -> Option<u32> {
+    /// A leader that may have been replaced refuses no job for this reason: its successor may have accepted the job from
+    /// an earlier attempt, and a client that is refused concludes that the job will never run.
+    fn pressure_retry_ms(&mut self, now: Now) -> Option<u32> {
         if !self.is_sure(now) {
             return None;
         }
         self.pressure.check_refusal(self.news.changed_steps(), now)
     }
 
-    /// Refuses a job that nothing was done of.
-    fn refuse_for_pressure(&mut self, request_id: RequestId, key: JobKey, retry_after_ms: u32) {
+    /// Refuses a job, of which nothing has been done, because the leader is behind.
+    fn refuse_while_behind(&mut self, request_id: RequestId, key: JobKey, retry_after_ms: u32) {
         let reason = "the leader is behind";
         log::info!(job:% = key, reason, behind_ms = self.pressure.behind_ms(); "job refused");
         self.reply(request_id, Response::Refused { reason, retry_after_ms });
     }
 
-    /// Whether the store has taken nothing for so long that new jobs are refused.
-    fn store_takes_nothing(&self, now: Now) -> bool {
+    /// Returns whether the store has stored nothing for so long that new jobs are refused.
+    fn is_store_stuck(&self, now: Now) -> bool {
         let options = &self.options;
-        let patience_ms = if self.outbox.is_refused() {
+        let limit_ms = if self.outbox.is_refused() {
             options.store_refusal_limit_ms
         } else {
             options.store_unresponsive_limit_ms
         };
-        self.outbox.stuck_ms(now.steady_ms) > patience_ms
+        self.outbox.stuck_ms(now.steady_ms) > limit_ms
     }
 
-    /// Refuses the jobs that wait for a store that takes nothing. Those that are part of an append
-    /// without an answer stay: they may be stored.
+    /// Refuses the jobs that wait to be stored if the store is stuck. Jobs in an append that has got no response are
+    /// kept, because they may have been stored.
     pub(crate) fn refuse_unstored_jobs(&mut self, now: Now) {
-        if !self.store_takes_nothing(now) {
+        if !self.is_store_stuck(now) {
             return;
         }
         for (request_id, key) in self.outbox.take_back_jobs() {
             self.withdraw(key, now);
-            self.refuse_for_store(request_id, key, now);
+            self.refuse_while_store_stuck(request_id, key, now);
         }
     }
 
-    /// Forgets a job that was never stored, with what was prepared for it.
+    /// Removes a job that was never stored, together with its prepared runs.
     fn withdraw(&mut self, key: JobKey, now: Now) {
         let Some(entry) = self.jobs.get_mut(&key) else { return };
         entry.job.cancel(now.unix_ms);
@@ -143,11 +146,11 @@
         self.outbox.waiting.states.remove(&key);
     }
 
-    /// Why no worker of the queue's service could ever run a step. Says nothing while no worker is
-    /// known. One that has less room just now may have more again.
-    fn impossible(&self, plan: &v1::WorkPlan, queue: &v1::QueuePolicy) -> Option<String> {
-        let is_there = |w: &&Worker| w.listed && w.entry.service == queue.service;
-        let workers = self.workers.values().filter(is_there);
+    /// Returns the reason if no worker of the queue's service is large enough for some step. Returns `None` while no
+    /// worker is known. A worker's largest known capacity counts, because a reduced capacity may grow again.
+    fn find_impossible_step(&self, plan: &v1::WorkPlan, queue: &v1::QueuePolicy) -> Option<String> {
+        let is_usable = |w: &&Worker| w.listed && w.entry.service == queue.service;
+        let workers = self.workers.values().filter(is_usable);
         workers.clone().next()?;
         let number = plan.steps.iter().position(|step| {
             let need = place::need(step);
@@ -156,9 +159,10 @@
         Some(format!("step {number}: no worker is large enough for its tasks"))
     }
 
-    fn tell_state(&mut self, request_id: RequestId, key: JobKey, now: Now) {
+    /// Responds with the state of a job.
+    fn respond_with_state(&mut self, request_id: RequestId, key: JobKey, now: Now) {
         let Some(entry) = self.jobs.get(&key) else {
-            return self.tell_unknown(request_id, now);
+            return self.respond_unknown_job(request_id, now);
         };
         let state = match entry.shown {
             Outcome::Completed => JobState::Completed,
@@ -170,24 +174,26 @@
         self.reply(request_id, Response::State(state));
     }
 
-    /// Says that a job is unknown, but only as the sure leader: a former one does not know the jobs
-    /// of its successor, and a caller who is told so believes that the job is lost.
-    fn tell_unknown(&mut self, request_id: RequestId, now: Now) {
+    /// Responds that a job is unknown, but only if this instance certainly leads. A former leader does not know the jobs
+    /// of its successor, and a client that receives this response concludes that the job is lost.
+    fn respond_unknown_job(&mut self, request_id: RequestId, now: Now) {
         if self.is_sure(now) {
             return self.reply(request_id, Response::UnknownJob);
         }
-        self.refuse_unsure(request_id, now);
+        self.refuse_unconfirmed(request_id, now);
     }
 
-    fn refuse_unsure(&mut self, request_id: RequestId, now: Now) {
+    /// Refuses a request because the store has not recently confirmed that this instance leads.
+    fn refuse_unconfirmed(&mut self, request_id: RequestId, now: Now) {
         let reason = "the store has not confirmed the leader";
         let retry_after_ms = retry_after_ms(self.store_stuck_ms(now));
         self.reply(request_id, Response::Refused { reason, retry_after_ms });
     }
 
+    /// Cancels a job, and responds once that is stored.
     fn cancel(&mut self, request_id: RequestId, key: JobKey, now: Now) {
         let Some(entry) = self.jobs.get_mut(&key) else {
-            return self.tell_unknown(request_id, now);
+            return self.respond_unknown_job(request_id, now);
         };
         let changed = entry.job.cancel(now.unix_ms);
         if changed {
@@ -197,20 +203,22 @@
         self.outbox.then(After::Reply(request_id, Response::Done));
     }
 
-    fn tell_pending(&mut self, request_id: RequestId, queue: &str, now: Now) {
+    /// Responds with the number of jobs of a queue of which no task has started.
+    fn respond_with_pending(&mut self, request_id: RequestId, queue: &str, now: Now) {
         if !self.is_sure(now) {
-            return self.refuse_unsure(request_id, now);
+            return self.refuse_unconfirmed(request_id, now);
         }
-        let waits = |entry: &&Entry| {
+        let is_pending = |entry: &&Entry| {
             entry.job.queue.name == queue
                 && entry.stored
                 && !entry.job.begun
                 && entry.job.outcome == Outcome::Open
         };
-        let pending = self.jobs.values().filter(waits).count() as u64;
+        let pending = self.jobs.values().filter(is_pending).count() as u64;
         self.reply(request_id, Response::Pending(pending));
     }
 
+    /// Sends a response to a client.
     pub(crate) fn reply(&mut self, request_id: RequestId, response: Response) {
         self.effects.push(Effect::Reply { request_id, response });
     }
--- a/lilacpass-lead/src/schedule.rs
+++ b/lilacpass-lead/src/schedule.rs
@@ -188,7 +188,7 @@
             worker.takes_starts(now.steady_ms) && place::is_eligible(worker, service, plan)
         };
         let fitting = self.workers_fitting(service, &place::need(plan));
-        let home = place::home(fitting.into_iter().filter(could_run), plan);
+        let home = place::choose_home(fitting.into_iter().filter(could_run), plan);
         if let Some(entry) = self.jobs.get_mut(&name.job) {
             entry.home = home;
         }
