--- a/lilacpass-core/src/event_queue.rs
+++ b/lilacpass-core/src/event_queue.rs
@@ -17,7 +17,7 @@
 
 impl<T> EventQueue<T> {
     /// Plans an event for a time.
-    pub fn plan(&mut self, at_ms: u64, event: T) {
+    pub fn schedule(&mut self, at_ms: u64, event: T) {
         self.planned += 1;
         self.events.insert((at_ms, self.planned), event);
     }
--- a/lilacpass-core/tests/event_queue.rs
+++ b/lilacpass-core/tests/event_queue.rs
@@ -8,7 +8,7 @@
 fn events_come_by_time_and_then_as_they_were_planned() {
     let mut queue = EventQueue::default();
     for (at_ms, event) in [(20, "c"), (10, "a"), (20, "d"), (10, "b"), (21, "late")] {
-        queue.plan(at_ms, event);
+        queue.schedule(at_ms, event);
     }
     assert_eq!(queue.next_ms(), Some(10));
     let come: Vec<(u64, &str)> = std::iter::from_fn(|| queue.pop_until(20)).collect();
--- a/lilacpass-jobs/src/crashes.rs
+++ b/lilacpass-jobs/src/crashes.rs
@@ -24,7 +24,7 @@
 
 impl Crashes {
     /// Whether the task may crash its next worker, and is to be tried where that does least harm and shows most.
-    pub fn make_suspect(&self) -> bool {
+    pub fn is_suspect(&self) -> bool {
         /// One without an explanation may be chance, or two that were explained.
         const MOST_UNEXPLAINED: usize = 1;
         const MOST_KNOWN: u32 = 2;
--- a/lilacpass-jobs/src/end.rs
+++ b/lilacpass-jobs/src/end.rs
@@ -31,7 +31,7 @@
 
 /// How a run ended, as its worker tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum How {
+pub enum EndReason {
     /// It did its work.
     Done,
     /// It failed, by its own fault or the worker's. Counts as an attempt.
@@ -39,27 +39,27 @@
     /// It was told to stop.
     Stopped,
     /// Its lease ran out, or its worker left.
-    Lapsed,
+    Expired,
     /// Its worker crashed.
     Crashed(Suspicion),
     /// Another member of its gang ended.
-    Broken,
+    GangBroken,
     /// It waited for the other members of its gang in vain.
-    Alone,
+    GangIncomplete,
     /// It was never started, and can't be any more.
-    Void,
+    NeverStarted,
 }
 
-impl How {
+impl EndReason {
     /// Those with a name that is read; that a worker crashed is no worker's word.
     const READ: [Self; 7] = [
         Self::Done,
         Self::Failed,
         Self::Stopped,
-        Self::Lapsed,
-        Self::Broken,
-        Self::Alone,
-        Self::Void,
+        Self::Expired,
+        Self::GangBroken,
+        Self::GangIncomplete,
+        Self::NeverStarted,
     ];
 
     /// The name in messages and logs.
@@ -68,22 +68,22 @@
             Self::Done => "done",
             Self::Failed => "failed",
             Self::Stopped => "stopped",
-            Self::Lapsed => "lapsed",
+            Self::Expired => "lapsed",
             Self::Crashed(_) => "crashed",
-            Self::Broken => "broken",
-            Self::Alone => "alone",
-            Self::Void => "void",
+            Self::GangBroken => "broken",
+            Self::GangIncomplete => "alone",
+            Self::NeverStarted => "void",
         }
     }
 }
 
-impl fmt::Display for How {
+impl fmt::Display for EndReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
 }
 
-impl FromStr for How {
+impl FromStr for EndReason {
     type Err = Error;
 
     fn from_str(s: &str) -> Result<Self, Error> {
@@ -93,11 +93,11 @@
 
 /// The end of one run of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct End {
+pub struct RunEnd {
     /// Number of the run.
     pub run: u32,
     /// How it ended.
-    pub how: How,
+    pub reason: EndReason,
     /// The progress that was saved; empty where there is none.
     pub checkpoint: String,
 }
--- a/lilacpass-jobs/src/job.rs
+++ b/lilacpass-jobs/src/job.rs
@@ -5,7 +5,7 @@
 use lilacpass_schema::v1;
 
 use crate::{
-    end::{End, How, Suspicion},
+    end::{EndReason, RunEnd, Suspicion},
     failure::{Cause, Failure},
     ids::{JobKey, StepName, TaskName, WorkerName},
     task::{Run, Task},
@@ -51,7 +51,7 @@
     }
 
     /// Whether all tasks wait, as a gang needs before its next run.
-    pub fn all_wait(&self) -> bool {
+    pub fn all_waiting(&self) -> bool {
         self.tasks.iter().all(Task::is_waiting)
     }
 }
@@ -75,7 +75,7 @@
     pub ended_ms: u64,
     /// A worker is known to have begun a task. Runs that were only given out don't count: their orders
     /// may never have arrived.
-    pub begun: bool,
+    pub has_started: bool,
     /// Per occurrence, its steps.
     pub occurrences: Vec<Vec<Step>>,
 }
@@ -111,7 +111,7 @@
             outcome: Outcome::Open,
             failure: None,
             ended_ms: 0,
-            begun: false,
+            has_started: false,
             occurrences,
         }
     }
@@ -173,9 +173,9 @@
     }
 
     /// Notes that a worker has begun a task. Returns whether that is news.
-    pub fn note_begun(&mut self) -> bool {
-        let is_news = !self.begun;
-        self.begun = true;
+    pub fn mark_started(&mut self) -> bool {
+        let is_news = !self.has_started;
+        self.has_started = true;
         is_news
     }
 
@@ -201,7 +201,7 @@
     }
 
     /// Gives the next run of a task to a worker in a data centre. Returns its number.
-    pub fn begin_run(
+    pub fn assign_run(
         &mut self,
         name: TaskName,
         worker: WorkerName,
@@ -215,7 +215,7 @@
     }
 
     /// Gives the next run of a gang to its workers, one per task. All members share the number.
-    pub fn begin_gang(
+    pub fn assign_gang(
         &mut self,
         name: StepName,
         workers: &[(WorkerName, Arc<str>)],
@@ -239,7 +239,7 @@
     }
 
     /// Notes progress that a worker reports of a run.
-    pub fn note_checkpoint(&mut self, name: TaskName, checkpoint: &str) {
+    pub fn update_checkpoint(&mut self, name: TaskName, checkpoint: &str) {
         let shared = self.step_plan(name.step.step).gang;
         let holder = if shared { name.step.task(0) } else { name };
         if checkpoint.is_empty() || self.checkpoint(holder) == checkpoint {
@@ -255,7 +255,7 @@
         &mut self,
         name: TaskName,
         worker: &WorkerName,
-        end: &End,
+        end: &RunEnd,
         unix_ms: u64,
     ) -> Change {
         let Some(task) = self.task_mut(name) else { return Change::None };
@@ -263,16 +263,22 @@
         task.runs.retain(|run| run.number != end.run || run.worker != *worker);
         let was_given_up = task.runs.len() == known;
         // A run that was given up because its worker was silent may have done its work all the same.
-        let counts_late = end.how == How::Done && !task.done;
+        let counts_late = end.reason == EndReason::Done && !task.done;
         if was_given_up && !counts_late {
             return Change::None;
         }
-        self.note_checkpoint(name, &end.checkpoint);
-        match end.how {
-            How::Done => self.task_done(name, unix_ms),
-            How::Failed => self.task_failed(name, end.run, unix_ms),
-            How::Crashed(suspicion) => self.note_crash(name, end.run, worker, suspicion, unix_ms),
-            How::Stopped | How::Lapsed | How::Broken | How::Alone | How::Void => Change::Waiting,
+        self.update_checkpoint(name, &end.checkpoint);
+        match end.reason {
+            EndReason::Done => self.task_done(name, unix_ms),
+            EndReason::Failed => self.task_failed(name, end.run, unix_ms),
+            EndReason::Crashed(suspicion) => {
+                self.record_crash(name, end.run, worker, suspicion, unix_ms)
+            }
+            EndReason::Stopped
+            | EndReason::Expired
+            | EndReason::GangBroken
+            | EndReason::GangIncomplete
+            | EndReason::NeverStarted => Change::Waiting,
         }
     }
 
@@ -321,7 +327,7 @@
     }
 
     /// Notes that a worker has crashed under a run, which is not on it any more.
-    pub fn note_crash(
+    pub fn record_crash(
         &mut self,
         name: TaskName,
         run: u32,
@@ -350,12 +356,12 @@
 
     /// Whether a task may crash its next worker.
     pub fn is_suspected(&self, name: TaskName) -> bool {
-        self.task(self.counted_task(name)).is_some_and(|task| task.crashes.make_suspect())
+        self.task(self.counted_task(name)).is_some_and(|task| task.crashes.is_suspect())
     }
 
     /// A run has worked for so long that the crashes before can't have been its task's doing. Returns
     /// whether that is news.
-    pub fn acquit(&mut self, name: TaskName) -> bool {
+    pub fn clear_crashes(&mut self, name: TaskName) -> bool {
         let counted = self.counted_task(name);
         self.task_mut(counted).is_some_and(|task| task.crashes.forget())
     }
@@ -376,7 +382,7 @@
     }
 
     /// Whether a worker has crashed under any of its tasks.
-    pub fn is_struck(&self) -> bool {
+    pub fn has_crashes(&self) -> bool {
         self.tasks().any(|task| task.crashes.known > 0)
     }
 
--- a/lilacpass-jobs/src/lib.rs
+++ b/lilacpass-jobs/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod task;
 
 pub use crashes::Crashes;
-pub use end::{End, How, Suspicion};
+pub use end::{EndReason, RunEnd, Suspicion};
 pub use error::{Error, Result};
 pub use failure::Failure;
 pub use ids::{JobKey, StepName, TaskName, WorkerName};
--- a/lilacpass-jobs/src/record.rs
+++ b/lilacpass-jobs/src/record.rs
@@ -77,7 +77,7 @@
         Outcome::Cancelled => 3,
     };
     let failure = job.failure.as_ref().map(failure_record);
-    let (ended_ms, not_begun) = (job.ended_ms, !job.begun);
+    let (ended_ms, not_begun) = (job.ended_ms, !job.has_started);
     let mut record = v1::StateRecord { outcome, tasks, ended_ms, not_begun, failure };
     let bytes = record.encode_to_vec();
     if bytes.len() <= MAX_STATE_BYTES {
@@ -205,7 +205,7 @@
         *task = read_task(record);
     }
     let was_given = job.tasks().any(|task| task.done || task.last_run > 0);
-    job.begun = was_given && !state.not_begun;
+    job.has_started = was_given && !state.not_begun;
     Ok(job)
 }
 
--- a/lilacpass-jobs/tests/jobs.rs
+++ b/lilacpass-jobs/tests/jobs.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use lilacpass_jobs::{
-    End, How, Job, JobKey, Outcome, StepName, Suspicion, TaskName, WorkerName, failure::Cause,
-    job::Change, record,
+    EndReason, Job, JobKey, Outcome, RunEnd, StepName, Suspicion, TaskName, WorkerName,
+    failure::Cause, job::Change, record,
 };
 use lilacpass_schema::v1;
 use prost::Message;
@@ -25,15 +25,15 @@
 }
 
 fn begin(job: &mut Job, task: TaskName) -> u32 {
-    job.begin_run(task, WorkerName::from("w"), Arc::from("dc")).expect("the task is in the job")
+    job.assign_run(task, WorkerName::from("w"), Arc::from("dc")).expect("the task is in the job")
 }
 
 fn host() -> WorkerName {
     WorkerName::from("w")
 }
 
-fn end(run: u32, how: How) -> End {
-    End { run, how, checkpoint: String::new() }
+fn end(run: u32, how: EndReason) -> RunEnd {
+    RunEnd { run, reason: how, checkpoint: String::new() }
 }
 
 #[test]
@@ -44,12 +44,12 @@
         assert!(!job.step_may_start(name(1), 0));
         let task = name(0).task(index);
         let run = begin(&mut job, task);
-        assert_eq!(job.end_run(task, &host(), &end(run, How::Done), 9), Change::TaskDone);
+        assert_eq!(job.end_run(task, &host(), &end(run, EndReason::Done), 9), Change::TaskDone);
     }
     assert!(job.step_may_start(name(1), 0));
     let task = name(1).task(0);
     let run = begin(&mut job, task);
-    assert_eq!(job.end_run(task, &host(), &end(run, How::Done), 9), Change::JobEnded);
+    assert_eq!(job.end_run(task, &host(), &end(run, EndReason::Done), 9), Change::JobEnded);
     assert_eq!(job.outcome, Outcome::Completed);
 }
 
@@ -57,13 +57,20 @@
 fn only_failed_runs_count_as_attempts_and_each_once() {
     let mut job = job(vec![step(1, vec![])]);
     let task = name(0).task(0);
-    for how in [How::Stopped, How::Lapsed, How::Broken, How::Alone, How::Void, How::Failed] {
+    for how in [
+        EndReason::Stopped,
+        EndReason::Expired,
+        EndReason::GangBroken,
+        EndReason::GangIncomplete,
+        EndReason::NeverStarted,
+        EndReason::Failed,
+    ] {
         let run = begin(&mut job, task);
         assert_eq!(job.end_run(task, &host(), &end(run, how), 9), Change::Waiting);
         assert_eq!(job.end_run(task, &host(), &end(run, how), 9), Change::None, "told twice");
     }
     let run = begin(&mut job, task);
-    assert_eq!(job.end_run(task, &host(), &end(run, How::Failed), 9), Change::JobEnded);
+    assert_eq!(job.end_run(task, &host(), &end(run, EndReason::Failed), 9), Change::JobEnded);
     assert_eq!(job.outcome, Outcome::Failed);
 }
 
@@ -75,7 +82,7 @@
     let task = name(0).task(0);
     let run = begin(&mut job, task);
     let other = WorkerName::from("other");
-    assert_eq!(job.end_run(task, &other, &end(run, How::Lapsed), 9), Change::None);
+    assert_eq!(job.end_run(task, &other, &end(run, EndReason::Expired), 9), Change::None);
     assert!(job.task(task).is_some_and(|task| task.run(run).is_some()), "it still runs");
 }
 
@@ -84,22 +91,31 @@
     let mut job = job(vec![v1::WorkStep { gang: true, ..step(3, vec![]) }]);
     let hosts: Vec<(WorkerName, Arc<str>)> =
         (0..3).map(|_| (WorkerName::from("w"), Arc::from("dc"))).collect();
-    let run = job.begin_gang(name(0), &hosts).expect("a gang");
+    let run = job.assign_gang(name(0), &hosts).expect("a gang");
     for index in 0..3 {
-        let how = if index < 2 { How::Failed } else { How::Broken };
+        let how = if index < 2 { EndReason::Failed } else { EndReason::GangBroken };
         job.end_run(name(0).task(index), &host(), &end(run, how), 9);
     }
     assert_eq!(job.outcome, Outcome::Open, "two members that failed are one attempt");
-    let run = job.begin_gang(name(0), &hosts).expect("a gang");
+    let run = job.assign_gang(name(0), &hosts).expect("a gang");
     assert_eq!(run, 2, "all members share the next number");
-    assert_eq!(job.end_run(name(0).task(1), &host(), &end(run, How::Done), 9), Change::JobEnded);
+    assert_eq!(
+        job.end_run(name(0).task(1), &host(), &end(run, EndReason::Done), 9),
+        Change::JobEnded
+    );
 }
 
 #[test]
 fn a_lasting_task_starts_again_however_it_ends() {
     let mut job = job(vec![v1::WorkStep { lasting: true, ..step(1, vec![]) }]);
     let task = name(0).task(0);
-    for how in [How::Done, How::Failed, How::Failed, How::Failed, How::Lapsed] {
+    for how in [
+        EndReason::Done,
+        EndReason::Failed,
+        EndReason::Failed,
+        EndReason::Failed,
+        EndReason::Expired,
+    ] {
         let run = begin(&mut job, task);
         assert_eq!(job.end_run(task, &host(), &end(run, how), 9), Change::Waiting);
         assert!(job.task(task).is_some_and(lilacpass_jobs::Task::is_waiting));
@@ -118,7 +134,10 @@
     assert!(!job.step_may_start(name(0), 999) && job.step_may_start(name(0), 1_000));
     assert!(!job.step_may_start(second, 1_499) && job.step_may_start(second, 1_500));
     let run = begin(&mut job, name(0).task(0));
-    assert_eq!(job.end_run(name(0).task(0), &host(), &end(run, How::Done), 9), Change::TaskDone);
+    assert_eq!(
+        job.end_run(name(0).task(0), &host(), &end(run, EndReason::Done), 9),
+        Change::TaskDone
+    );
 }
 
 #[test]
@@ -126,7 +145,7 @@
     let mut job = job(vec![step(2, vec![]), v1::WorkStep { gang: true, ..step(2, vec![0]) }]);
     begin(&mut job, name(0).task(0));
     let run = begin(&mut job, name(0).task(1));
-    let ended = End { run, how: How::Failed, checkpoint: "c1".to_owned() };
+    let ended = RunEnd { run, reason: EndReason::Failed, checkpoint: "c1".to_owned() };
     job.end_run(name(0).task(1), &host(), &ended, 9);
     let plan = record::encode_plan(&job);
     let state = record::encode_state(&job);
@@ -143,10 +162,10 @@
     begin(&mut job, name(0).task(0));
     let plan = record::encode_plan(&job);
     let given = record::decode(job.key, &plan, Some(&record::encode_state(&job)));
-    assert!(given.is_ok_and(|job| !job.begun));
-    assert!(job.note_begun() && !job.note_begun());
+    assert!(given.is_ok_and(|job| !job.has_started));
+    assert!(job.mark_started() && !job.mark_started());
     let begun = record::decode(job.key, &plan, Some(&record::encode_state(&job)));
-    assert!(begun.is_ok_and(|job| job.begun));
+    assert!(begun.is_ok_and(|job| job.has_started));
 }
 
 /// Records of an earlier version don't tell what workers have begun; there, whatever was given out counts, as it
@@ -160,9 +179,9 @@
         let state = v1::StateRecord { not_begun: false, ..state.expect("it was just encoded") };
         record::decode(job.key, &plan, Some(&state.encode_to_vec())).expect("it was just encoded")
     };
-    assert!(!read(&job).begun, "nothing was given out");
+    assert!(!read(&job).has_started, "nothing was given out");
     begin(&mut job, name(0).task(0));
-    assert!(read(&job).begun);
+    assert!(read(&job).has_started);
 }
 
 #[test]
@@ -184,7 +203,7 @@
 fn crash(job: &mut Job, suspicion: Suspicion) -> Change {
     let task = name(0).task(0);
     let run = begin(job, task);
-    job.end_run(task, &host(), &end(run, How::Crashed(suspicion)), 9)
+    job.end_run(task, &host(), &end(run, EndReason::Crashed(suspicion)), 9)
 }
 
 fn restored(job: &Job) -> Job {
@@ -224,6 +243,6 @@
     assert_eq!(crash(&mut job, Suspicion::Suspect), Change::Waiting);
     assert_eq!(crash(&mut job, Suspicion::Only), Change::Waiting);
     assert_eq!(crash(&mut job, Suspicion::Cleared), Change::Waiting);
-    assert!(job.acquit(name(0).task(0)), "a run that works for long clears it");
+    assert!(job.clear_crashes(name(0).task(0)), "a run that works for long clears it");
     assert_eq!(crash(&mut job, Suspicion::Only), Change::Waiting);
 }
--- a/lilacpass-jobs/tests/records.rs
+++ b/lilacpass-jobs/tests/records.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use lilacpass_jobs::{
-    End, How, Job, JobKey, Outcome, Suspicion, TaskName, WorkerName, plan, record,
+    EndReason, Job, JobKey, Outcome, RunEnd, Suspicion, TaskName, WorkerName, plan, record,
 };
 use lilacpass_schema::v1;
 use prost::Message;
@@ -52,14 +52,14 @@
 fn happen(job: &mut Job, name: TaskName, what: u8, much: u8) {
     let worker = WorkerName::from(format!("i-{much}").as_str());
     match what % 8 {
-        0..=2 => drop(job.begin_run(name, worker, Arc::from("a"))),
-        3 => job.note_checkpoint(name, &format!("c{much}")),
+        0..=2 => drop(job.assign_run(name, worker, Arc::from("a"))),
+        3 => job.update_checkpoint(name, &format!("c{much}")),
         4..=6 => {
             let run = job.task(name).and_then(|task| task.runs.first().cloned());
             let how = ["done", "failed", "stopped", "lapsed"][usize::from(much % 4)];
             if let Some(run) = run {
                 let how = how.parse().expect("a way to end");
-                let end = End { run: run.number, how, checkpoint: String::new() };
+                let end = RunEnd { run: run.number, reason: how, checkpoint: String::new() };
                 let _change = job.end_run(name, &run.worker, &end, 11);
             }
         }
@@ -106,9 +106,9 @@
     let mut job = Job::new(KEY, v1::PlanRecord { plan: Some(plan), ..Default::default() });
     let names: Vec<TaskName> = job.step_names().flat_map(|step| job.task_names(step)).collect();
     for name in &names {
-        job.begin_run(*name, WorkerName::from("i-1"), Arc::from("a"));
+        job.assign_run(*name, WorkerName::from("i-1"), Arc::from("a"));
         let bytes = if name.index < 10 { 16 } else { 10_000 };
-        job.note_checkpoint(*name, &"c".repeat(bytes));
+        job.update_checkpoint(*name, &"c".repeat(bytes));
     }
     let (plan, state) = (record::encode_plan(&job), record::encode_state(&job));
     assert!(state.len() <= RECORD_BYTES, "{} bytes", state.len());
@@ -128,11 +128,11 @@
     let worker = WorkerName::from("i-0123456789");
     for name in &names {
         for _ in 0..2 {
-            let run = job.begin_run(*name, worker.clone(), Arc::from("hal-a")).expect("a run");
-            let how = How::Crashed(Suspicion::Suspect);
-            job.end_run(*name, &worker, &End { run, how, checkpoint: String::new() }, 9);
+            let run = job.assign_run(*name, worker.clone(), Arc::from("hal-a")).expect("a run");
+            let how = EndReason::Crashed(Suspicion::Suspect);
+            job.end_run(*name, &worker, &RunEnd { run, reason: how, checkpoint: String::new() }, 9);
         }
-        job.begin_run(*name, worker.clone(), Arc::from("hal-a"));
+        job.assign_run(*name, worker.clone(), Arc::from("hal-a"));
     }
     let (plan, state) = (record::encode_plan(&job), record::encode_state(&job));
     assert!(state.len() <= RECORD_BYTES, "{} bytes", state.len());
--- a/lilacpass-lab/src/cell.rs
+++ b/lilacpass-lab/src/cell.rs
@@ -11,7 +11,7 @@
 };
 
 use lilacpass_core::{Resources, Verdict, event_queue::EventQueue};
-use lilacpass_jobs::{How, JobKey, StepName, TaskName, WorkerName, record};
+use lilacpass_jobs::{EndReason, JobKey, StepName, TaskName, WorkerName, record};
 use lilacpass_lead::{
     Effect, Event, Leader, Now, Options,
     event::{Answer, Ask, CallError, Lane, Record, Token},
@@ -155,7 +155,7 @@
     }
 
     pub(crate) fn plan(&mut self, at_ms: u64, action: Action) {
-        self.actions.plan(at_ms, action);
+        self.actions.schedule(at_ms, action);
     }
 
     fn run(&mut self, end_ms: u64) {
@@ -362,7 +362,7 @@
         let now_ms = self.now_ms;
         let ends = self.workers[at].advance(now_ms);
         for row in &ends {
-            if row.end.how == How::Done {
+            if row.end.reason == EndReason::Done {
                 self.note_next_step(row.task.step);
             }
         }
@@ -438,7 +438,7 @@
             need: lilacpass_lead::place::need(&arrival.plan(class).steps[0]),
             began_ms: self.now_ms,
             ends_ms: self.now_ms + (left_ms as u64).max(1),
-            how: if fails { How::Failed } else { How::Done },
+            how: if fails { EndReason::Failed } else { EndReason::Done },
             saved_ms,
             slowness,
             saves: class.checkpointing,
--- a/lilacpass-lab/src/model_worker.rs
+++ b/lilacpass-lab/src/model_worker.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use lilacpass_core::Resources;
-use lilacpass_jobs::{End, How, TaskName, WorkerName};
+use lilacpass_jobs::{EndReason, RunEnd, TaskName, WorkerName};
 use lilacpass_lead::event::{CallError, EndRow, LookAnswer, Refusal, Registration, RunningRow};
 
 /// How long a stop takes.
@@ -21,7 +21,7 @@
     /// When it ends.
     pub ends_ms: u64,
     /// How it ends.
-    pub how: How,
+    pub how: EndReason,
     /// Work that was done before it started, in milliseconds.
     pub saved_ms: u64,
     /// It takes so many times as long as on a sound worker.
@@ -135,12 +135,12 @@
     pub fn advance(&mut self, now_ms: u64) -> Vec<EndRow> {
         let known = self.ends.len();
         let has_lapsed = now_ms >= self.lease_until_ms;
-        let over: Vec<(TaskName, How)> = self
+        let over: Vec<(TaskName, EndReason)> = self
             .runs
             .iter()
             .filter_map(|(task, run)| match run.ends_ms <= now_ms {
                 true => Some((*task, run.how)),
-                false => has_lapsed.then_some((*task, How::Lapsed)),
+                false => has_lapsed.then_some((*task, EndReason::Expired)),
             })
             .collect();
         for (task, how) in over {
@@ -149,10 +149,10 @@
         self.ends[known..].to_vec()
     }
 
-    fn end(&mut self, task: TaskName, how: How, now_ms: u64) {
+    fn end(&mut self, task: TaskName, how: EndReason, now_ms: u64) {
         let Some(run) = self.runs.remove(&task) else { return };
         self.over.insert(task, run.run);
-        let end = End { run: run.run, how, checkpoint: run.checkpoint(now_ms) };
+        let end = RunEnd { run: run.run, reason: how, checkpoint: run.checkpoint(now_ms) };
         self.ends.push(EndRow { number: self.next_end, task, end });
         self.next_end += 1;
     }
@@ -203,9 +203,9 @@
     /// An order to stop arrives. Returns the work that is lost, in milliseconds.
     pub fn stop(&mut self, task: TaskName, run: u32, now_ms: u64) -> u64 {
         match self.runs.get_mut(&task) {
-            Some(running) if running.run <= run && running.how != How::Stopped => {
+            Some(running) if running.run <= run && running.how != EndReason::Stopped => {
                 running.ends_ms = running.ends_ms.min(now_ms + STOP_MS);
-                running.how = How::Stopped;
+                running.how = EndReason::Stopped;
                 if running.saves { 0 } else { now_ms.saturating_sub(running.began_ms) }
             }
             Some(_) => 0,
--- a/lilacpass-lead/benches/cell/mod.rs
+++ b/lilacpass-lead/benches/cell/mod.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use lilacpass_core::Resources;
-use lilacpass_jobs::{End, How, JobKey, TaskName, WorkerName};
+use lilacpass_jobs::{EndReason, JobKey, RunEnd, TaskName, WorkerName};
 use lilacpass_lead::{
     Effect, Event, Leader, Now, Options,
     event::{Advice, Ask, EndRow, Lane, LookAnswer, Registration, RunningRow, TicketRow, Token},
@@ -154,7 +154,7 @@
         let mut rows = Vec::new();
         for (task, run) in ended {
             host.last_end += 1;
-            let end = End { run, how: How::Done, checkpoint: String::new() };
+            let end = RunEnd { run, reason: EndReason::Done, checkpoint: String::new() };
             rows.push(EndRow { number: host.last_end, task, end });
         }
         let answer = LookAnswer { clock_ms: now_ms, running, ends: rows, ..LookAnswer::default() };
--- a/lilacpass-lead/benches/flow.rs
+++ b/lilacpass-lead/benches/flow.rs
@@ -11,7 +11,7 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use lilacpass_core::{Resources, event_queue::EventQueue};
-use lilacpass_jobs::{End, How, JobKey, StepName, TaskName, WorkerName};
+use lilacpass_jobs::{EndReason, JobKey, RunEnd, StepName, TaskName, WorkerName};
 use lilacpass_lead::{
     Effect, Event, Leader, Now, Options,
     event::{Advice, Ask, EndRow, Lane, LookAnswer, Registration, RunningRow, TicketRow, Token},
@@ -118,7 +118,7 @@
     }
 
     fn plan(&mut self, after_ms: u64, todo: Todo) {
-        self.todo.plan(self.now_ms + after_ms, todo);
+        self.todo.schedule(self.now_ms + after_ms, todo);
     }
 
     /// Lets time pass. Returns the time that the leader took.
@@ -212,7 +212,7 @@
         let host = &mut self.hosts[at];
         host.running.remove(&task);
         host.last_end += 1;
-        let end = End { run, how: How::Done, checkpoint: String::new() };
+        let end = RunEnd { run, reason: EndReason::Done, checkpoint: String::new() };
         host.ends.push(EndRow { number: host.last_end, task, end });
         if host.look.is_some() {
             self.answer_look(at);
--- a/lilacpass-lead/src/asks.rs
+++ b/lilacpass-lead/src/asks.rs
@@ -164,7 +164,7 @@
             Outcome::Completed => JobState::Completed,
             Outcome::Failed => JobState::Failed,
             Outcome::Cancelled => JobState::Cancelled,
-            Outcome::Open if entry.job.begun => JobState::Running,
+            Outcome::Open if entry.job.has_started => JobState::Running,
             Outcome::Open => JobState::Queued,
         };
         self.reply(token, Answer::State(state));
@@ -204,7 +204,7 @@
         let waits = |entry: &&Entry| {
             entry.job.queue.name == queue
                 && entry.stored
-                && !entry.job.begun
+                && !entry.job.has_started
                 && entry.job.outcome == Outcome::Open
         };
         let pending = self.jobs.values().filter(waits).count() as u64;
--- a/lilacpass-lead/src/crashes.rs
+++ b/lilacpass-lead/src/crashes.rs
@@ -6,7 +6,8 @@
 use std::{cmp::Reverse, mem};
 
 use lilacpass_jobs::{
-    End, How, JobKey, Outcome, Suspicion, TaskName, WorkerName, failure::Cause, job::Change,
+    EndReason, JobKey, Outcome, RunEnd, Suspicion, TaskName, WorkerName, failure::Cause,
+    job::Change,
 };
 
 use crate::{
@@ -70,7 +71,8 @@
     }
 
     fn end_crashed(&mut self, name: &WorkerName, key: RunKey, suspicion: Suspicion, now: Now) {
-        let end = End { run: key.1, how: How::Crashed(suspicion), checkpoint: String::new() };
+        let end =
+            RunEnd { run: key.1, reason: EndReason::Crashed(suspicion), checkpoint: String::new() };
         self.note_suspicion(name, key, suspicion);
         self.end_run(name, key, &end, now);
     }
@@ -84,7 +86,7 @@
         now: Now,
     ) {
         let Some(entry) = self.jobs.get_mut(&task.step.job) else { return };
-        let change = entry.job.note_crash(task, run, name, suspicion, now.unix_ms);
+        let change = entry.job.record_crash(task, run, name, suspicion, now.unix_ms);
         self.outbox.waiting.states.insert(task.step.job);
         if change == Change::JobEnded {
             self.job_ended(task.step.job, now);
--- a/lilacpass-lead/src/ends.rs
+++ b/lilacpass-lead/src/ends.rs
@@ -1,12 +1,18 @@
 //! What follows when a run or a job ends.
 
-use lilacpass_jobs::{End, How, JobKey, StepName, TaskName, WorkerName, job::Change};
+use lilacpass_jobs::{EndReason, JobKey, RunEnd, StepName, TaskName, WorkerName, job::Change};
 
 use crate::{event::Now, leader::Leader, options::Mechanism, outbox::After, worker::RunKey};
 
 impl Leader {
     /// Takes note that a run has ended on a worker, and of what follows for its job.
-    pub(crate) fn end_run(&mut self, worker_name: &WorkerName, key: RunKey, end: &End, now: Now) {
+    pub(crate) fn end_run(
+        &mut self,
+        worker_name: &WorkerName,
+        key: RunKey,
+        end: &RunEnd,
+        now: Now,
+    ) {
         let (task, run) = key;
         if let Some(worker) = self.workers.get_mut(worker_name) {
             worker.take(key);
@@ -17,13 +23,13 @@
         let change = entry.job.end_run(task, worker_name, end, now.unix_ms);
         let outcome = entry.job.outcome;
         log::info!(
-            how:% = end.how, job = outcome.as_str(), task:% = task, run, worker:% = worker_name;
+            how:% = end.reason, job = outcome.as_str(), task:% = task, run, worker:% = worker_name;
             "run ended"
         );
         if change == Change::None {
             return;
         }
-        if end.how != How::Void {
+        if end.reason != EndReason::NeverStarted {
             self.outbox.waiting.states.insert(task.step.job);
         }
         match change {
@@ -36,7 +42,7 @@
             }
             Change::None | Change::Waiting => {}
         }
-        if end.how != How::Done {
+        if end.reason != EndReason::Done {
             self.stop_gang_run(task, run, now);
         }
         self.reindex_step(task.step, now);
--- a/lilacpass-lead/src/event.rs
+++ b/lilacpass-lead/src/event.rs
@@ -1,7 +1,7 @@
 //! What the leader is told and what it asks for.
 
 use lilacpass_core::{Resources, Verdict};
-use lilacpass_jobs::{End, JobKey, StepName, TaskName, WorkerName};
+use lilacpass_jobs::{JobKey, RunEnd, StepName, TaskName, WorkerName};
 use lilacpass_schema::v1;
 
 /// The present time.
@@ -154,7 +154,7 @@
     /// The task.
     pub task: TaskName,
     /// The end.
-    pub end: End,
+    pub end: RunEnd,
 }
 
 /// What a worker answers to a look.
--- a/lilacpass-lead/src/holds.rs
+++ b/lilacpass-lead/src/holds.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use lilacpass_jobs::{End, How, JobKey, WorkerName};
+use lilacpass_jobs::{EndReason, JobKey, RunEnd, WorkerName};
 
 use crate::{
     event::{CallError, Effect, EndRow, LookAnswer, Now, Refusal, RunningRow},
@@ -142,16 +142,22 @@
         worker.seen_upto = upto;
         for row in new {
             self.note_begun(row.task.step.job);
-            self.judge_worker(name, row.task.step.job, row.end.how, now);
+            self.judge_worker(name, row.task.step.job, row.end.reason, now);
             self.end_run(name, (row.task, row.end.run), &row.end, now);
         }
         self.outbox.then(After::Forget { worker: name.clone(), upto });
     }
 
     /// Notes what the end of a run says about its worker and its job.
-    pub(crate) fn judge_worker(&mut self, name: &WorkerName, job: JobKey, how: How, now: Now) {
+    pub(crate) fn judge_worker(
+        &mut self,
+        name: &WorkerName,
+        job: JobKey,
+        how: EndReason,
+        now: Now,
+    ) {
         match how {
-            How::Done => {
+            EndReason::Done => {
                 if let Some(worker) = self.workers.get_mut(name) {
                     worker.health.done();
                 }
@@ -159,9 +165,13 @@
                     entry.failed_on.clear();
                 }
             }
-            How::Failed => self.blame(name, job, now),
-            How::Stopped | How::Lapsed | How::Crashed(_) | How::Broken | How::Alone | How::Void => {
-            }
+            EndReason::Failed => self.blame(name, job, now),
+            EndReason::Stopped
+            | EndReason::Expired
+            | EndReason::Crashed(_)
+            | EndReason::GangBroken
+            | EndReason::GangIncomplete
+            | EndReason::NeverStarted => {}
         }
     }
 
@@ -192,7 +202,7 @@
             let key = (row.task, row.run);
             self.note_begun(row.task.step.job);
             if let Some(entry) = self.jobs.get_mut(&row.task.step.job) {
-                entry.job.note_checkpoint(row.task, &row.checkpoint);
+                entry.job.update_checkpoint(row.task, &row.checkpoint);
             }
             let Some(worker) = self.workers.get_mut(name) else { return };
             let Some(given) = worker.runs.get_mut(&key) else {
@@ -259,7 +269,7 @@
 
     /// A run that was not started and can't be any more.
     pub(crate) fn void_run(&mut self, name: &WorkerName, key: RunKey, now: Now) {
-        let end = End { run: key.1, how: How::Void, checkpoint: String::new() };
+        let end = RunEnd { run: key.1, reason: EndReason::NeverStarted, checkpoint: String::new() };
         self.end_run(name, key, &end, now);
     }
 
@@ -276,7 +286,7 @@
         let Some(worker) = self.workers.get(name) else { return };
         let runs: Vec<RunKey> = worker.runs.keys().copied().collect();
         for key in runs {
-            let end = End { run: key.1, how: How::Lapsed, checkpoint: String::new() };
+            let end = RunEnd { run: key.1, reason: EndReason::Expired, checkpoint: String::new() };
             self.end_run(name, key, &end, now);
         }
     }
--- a/lilacpass-lead/src/inspect.rs
+++ b/lilacpass-lead/src/inspect.rs
@@ -98,7 +98,7 @@
         for entry in self.jobs.values().filter(|entry| entry.job.outcome == Outcome::Open) {
             let queue = &entry.job.queue.name;
             *status.open_jobs.entry(queue.clone()).or_default() += 1;
-            if !entry.job.begun {
+            if !entry.job.has_started {
                 *status.not_begun_jobs.entry(queue.clone()).or_default() += 1;
             }
         }
@@ -128,7 +128,7 @@
             queue: job.queue.name.clone(),
             outcome: job.outcome.as_str(),
             failure: job.failure.map(|failure| failure.to_string()).unwrap_or_default(),
-            begun: job.begun,
+            begun: job.has_started,
             age_ms: now.unix_ms.saturating_sub(job.accepted_ms),
             steps: job.step_names().map(|step| self.explain_step(entry, step, now)).collect(),
         })
--- a/lilacpass-lead/src/leader.rs
+++ b/lilacpass-lead/src/leader.rs
@@ -228,7 +228,7 @@
             }
             self.rooms.note(worker);
         }
-        if job.outcome == Outcome::Open && job.is_struck() {
+        if job.outcome == Outcome::Open && job.has_crashes() {
             self.struck.insert(key);
         }
         self.jobs.insert(key, Entry::new(job, true));
--- a/lilacpass-lead/src/recording.rs
+++ b/lilacpass-lead/src/recording.rs
@@ -38,7 +38,7 @@
     /// a job waits which they were told runs, until the worker answers.
     pub(crate) fn note_begun(&mut self, key: JobKey) {
         let Some(entry) = self.jobs.get_mut(&key) else { return };
-        if entry.job.note_begun() {
+        if entry.job.mark_started() {
             self.outbox.waiting.beside.insert(key);
         }
     }
--- a/lilacpass-lead/src/reindex.rs
+++ b/lilacpass-lead/src/reindex.rs
@@ -70,7 +70,7 @@
 fn waits(entry: &Entry, name: StepName) -> bool {
     let job = &entry.job;
     if job.step_plan(name.step).gang {
-        return job.step(name).is_some_and(Step::all_wait);
+        return job.step(name).is_some_and(Step::all_waiting);
     }
     job.step(name).is_some() && job.task_names(name).any(|task| entry.wants_run(task))
 }
--- a/lilacpass-lead/src/schedule.rs
+++ b/lilacpass-lead/src/schedule.rs
@@ -329,7 +329,7 @@
         let is_on_trial = entry.is_some_and(|entry| self.is_on_trial(entry, task));
         let Some(entry) = self.jobs.get_mut(&task.step.job) else { return };
         let data_centre = data_centre_of(&self.workers, &worker);
-        let Some(run) = entry.job.begin_run(task, worker.clone(), data_centre) else { return };
+        let Some(run) = entry.job.assign_run(task, worker.clone(), data_centre) else { return };
         entry.copies.remove(&task);
         self.record_start(task, run, worker.clone(), now);
         if is_on_trial {
@@ -345,7 +345,7 @@
             .map(|worker| (worker.clone(), data_centre_of(&self.workers, worker)))
             .collect();
         let is_on_trial = entry.job.is_suspected(name.task(0));
-        let Some(run) = entry.job.begin_gang(name, &hosts) else { return };
+        let Some(run) = entry.job.assign_gang(name, &hosts) else { return };
         self.reservations.release(name);
         for (index, worker) in workers.iter().enumerate() {
             let task = name.task(index as u32);
--- a/lilacpass-lead/src/trials.rs
+++ b/lilacpass-lead/src/trials.rs
@@ -93,7 +93,7 @@
             return;
         }
         let Some(entry) = self.jobs.get_mut(&key.0.step.job) else { return };
-        if entry.job.acquit(key.0) {
+        if entry.job.clear_crashes(key.0) {
             self.outbox.waiting.beside.insert(key.0.step.job);
         }
     }
--- a/lilacpass-lead/tests/calls.rs
+++ b/lilacpass-lead/tests/calls.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use lilacpass_core::{Resources, Verdict};
-use lilacpass_jobs::{How, JobKey, TaskName, WorkerName};
+use lilacpass_jobs::{EndReason, JobKey, TaskName, WorkerName};
 use lilacpass_lead::{
     Effect, Event, Leader, Now, Options,
     event::{
@@ -183,7 +183,8 @@
             continue;
         }
         failed += 1;
-        let end = lilacpass_jobs::End { run, how: How::Failed, checkpoint: String::new() };
+        let end =
+            lilacpass_jobs::RunEnd { run, reason: EndReason::Failed, checkpoint: String::new() };
         ends.push(EndRow { number: ends.len() as u64 + 1, task, end });
         single.looked(worker.as_str(), &[], &ends);
     }
@@ -203,7 +204,8 @@
     for (worker, task, run) in starts(&filler) {
         single.tell(Event::Started { worker: worker.clone(), task, run, result: Ok(()) });
         if worker.as_str() == WORKER {
-            let end = lilacpass_jobs::End { run, how: How::Done, checkpoint: String::new() };
+            let end =
+                lilacpass_jobs::RunEnd { run, reason: EndReason::Done, checkpoint: String::new() };
             ends.push(EndRow { number: 1, task, end });
         }
     }
@@ -213,7 +215,8 @@
         let (worker, task, run) = starts(&effects)[0].clone();
         assert_eq!(worker.as_str(), WORKER, "no other has room");
         single.tell(Event::Started { worker, task, run, result: Ok(()) });
-        let end = lilacpass_jobs::End { run, how: How::Failed, checkpoint: String::new() };
+        let end =
+            lilacpass_jobs::RunEnd { run, reason: EndReason::Failed, checkpoint: String::new() };
         ends.push(EndRow { number: ends.len() as u64 + 1, task, end });
         let effects = single.looked(WORKER, &[], &ends);
         if key == 2 {
@@ -222,7 +225,11 @@
             // The retry of the first job runs on; it frees its room for the second.
             for (worker, task, run) in starts(&effects) {
                 single.tell(Event::Started { worker, task, run, result: Ok(()) });
-                let end = lilacpass_jobs::End { run, how: How::Stopped, checkpoint: String::new() };
+                let end = lilacpass_jobs::RunEnd {
+                    run,
+                    reason: EndReason::Stopped,
+                    checkpoint: String::new(),
+                };
                 ends.push(EndRow { number: ends.len() as u64 + 1, task, end });
             }
             single.tell(Event::Asked { token: Token(50), ask: Ask::Cancel(JobKey(1)) });
@@ -245,7 +252,7 @@
     let effects = single.tell(Event::Tick);
     let again = starts(&effects);
     assert_eq!(again.len(), 1, "it starts elsewhere");
-    let end = lilacpass_jobs::End { run, how: How::Done, checkpoint: String::new() };
+    let end = lilacpass_jobs::RunEnd { run, reason: EndReason::Done, checkpoint: String::new() };
     let effects = single.looked(worker.as_str(), &[], &[EndRow { number: 1, task, end }]);
     let stopped = effects.iter().any(|effect| matches!(effect, Effect::Stop { run: 2, .. }));
     assert!(stopped, "the second run is stopped");
@@ -418,7 +425,7 @@
     let end = |number, task| EndRow {
         number,
         task,
-        end: lilacpass_jobs::End { run: 1, how: How::Done, checkpoint: String::new() },
+        end: lilacpass_jobs::RunEnd { run: 1, reason: EndReason::Done, checkpoint: String::new() },
     };
     let looked = |now_ms: u64, ends: Vec<EndRow>| Event::Looked {
         worker: WorkerName::from(WORKER),
--- a/lilacpass-lead/tests/crashes.rs
+++ b/lilacpass-lead/tests/crashes.rs
@@ -218,7 +218,7 @@
     }
     for key in [1, 2] {
         let job = world.store.job(JobKey(key)).expect("it is stored");
-        assert!(!job.tasks().any(|task| task.crashes.make_suspect()), "none is held back");
+        assert!(!job.tasks().any(|task| task.crashes.is_suspect()), "none is held back");
     }
     world.run(20_000);
     assert_eq!(outcome(&world, 1), Some(Outcome::Completed));
--- a/lilacpass-lead/tests/waiting_jobs.rs
+++ b/lilacpass-lead/tests/waiting_jobs.rs
@@ -170,7 +170,7 @@
     submit(&mut world, 2);
     world.run(300);
     let job = world.store.job(JobKey(1)).expect("the job is stored");
-    assert!(job.begun, "stored beside the next job");
+    assert!(job.has_started, "stored beside the next job");
 }
 
 /// Operators looked for jobs that stand still and saw open ones only: those of which nothing ran were among them,
--- a/lilacpass-lead/tests/world/mod.rs
+++ b/lilacpass-lead/tests/world/mod.rs
@@ -263,7 +263,7 @@
     }
 
     fn plan(&mut self, after_ms: u64, action: Action) {
-        self.actions.plan(self.now_ms + after_ms, action);
+        self.actions.schedule(self.now_ms + after_ms, action);
     }
 
     fn act(&mut self, action: Action) {
--- a/lilacpass-lead/tests/world/worker.rs
+++ b/lilacpass-lead/tests/world/worker.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lilacpass_core::Resources;
-use lilacpass_jobs::{End, How, TaskName, WorkerName};
+use lilacpass_jobs::{EndReason, RunEnd, TaskName, WorkerName};
 use lilacpass_lead::event::{CallError, EndRow, LookAnswer, Refusal, Registration, RunningRow};
 
 /// How long a stop takes.
@@ -18,7 +18,7 @@
     pub need: Resources,
     began_ms: u64,
     ends_ms: u64,
-    how: How,
+    how: EndReason,
 }
 
 impl Running {
@@ -148,7 +148,7 @@
         if now_ms + CLOCK_AHEAD_MS > self.lease_until_ms {
             let lapsed: Vec<TaskName> = self.runs.keys().copied().collect();
             self.lapsed += lapsed.len() as u64;
-            lapsed.into_iter().for_each(|task| self.end(task, How::Lapsed));
+            lapsed.into_iter().for_each(|task| self.end(task, EndReason::Expired));
             self.lapsed_upto = self.next_end - 1;
         }
         self.now_ms_is(now_ms);
@@ -158,16 +158,16 @@
         self.clock_ms = now_ms + CLOCK_AHEAD_MS;
     }
 
-    fn end(&mut self, task: TaskName, how: How) {
+    fn end(&mut self, task: TaskName, how: EndReason) {
         let Some(run) = self.runs.remove(&task) else { return };
-        if how == How::Done {
+        if how == EndReason::Done {
             self.done.insert(task);
         }
-        if how == How::Failed {
+        if how == EndReason::Failed {
             self.failed.push(task);
         }
         self.over.insert(task, run.run);
-        let end = End { run: run.run, how, checkpoint: String::new() };
+        let end = RunEnd { run: run.run, reason: how, checkpoint: String::new() };
         self.ends.push(EndRow { number: self.next_end, task, end });
         self.next_end += 1;
     }
@@ -191,7 +191,7 @@
             self.lease_until_ms = self.lease_until_ms.max(until_ms);
         }
         for row in self.ends.iter().filter(|row| row.number <= forget_upto) {
-            if row.end.how == How::Done && row.number > self.lapsed_upto {
+            if row.end.reason == EndReason::Done && row.number > self.lapsed_upto {
                 self.noted_done.insert(row.task);
             }
         }
@@ -249,7 +249,7 @@
         lasting: bool,
     ) {
         let ends_ms = if lasting { u64::MAX } else { ends_ms };
-        let how = if fails { How::Failed } else { How::Done };
+        let how = if fails { EndReason::Failed } else { EndReason::Done };
         let began_ms = self.clock_ms - CLOCK_AHEAD_MS;
         self.runs.insert(task, Running { run, need, began_ms, ends_ms, how });
     }
@@ -265,7 +265,7 @@
         match self.runs.get_mut(&task) {
             Some(running) if running.run <= run => {
                 running.ends_ms = running.ends_ms.min(now_ms + STOP_MS);
-                running.how = How::Stopped;
+                running.how = EndReason::Stopped;
                 self.stopped += 1;
             }
             Some(_) => {}
--- a/lilacpass-node/src/relay_messages.rs
+++ b/lilacpass-node/src/relay_messages.rs
@@ -1,7 +1,7 @@
 //! Orders and their outcomes as they travel between the leader and an instance that relays them.
 
 use lilacpass_core::Verdict;
-use lilacpass_jobs::{End, JobKey, StepName, TaskName};
+use lilacpass_jobs::{JobKey, RunEnd, StepName, TaskName};
 use lilacpass_lead::event::{CallError, EndRow, LookAnswer, Refusal, RunningRow};
 use lilacpass_platform::workers::{Look, Start};
 use lilacpass_schema::v1;
@@ -145,7 +145,7 @@
     let end = |row: EndRow| v1::RelayedEnd {
         number: row.number,
         run: Some(write_run(row.task, row.end.run)),
-        how: row.end.how.as_str().to_owned(),
+        how: row.end.reason.as_str().to_owned(),
         checkpoint: row.end.checkpoint,
     };
     v1::RelayedAnswer {
@@ -167,7 +167,11 @@
     let end = |row: v1::RelayedEnd| {
         let (task, run) = read_run(row.run.as_ref())?;
         let how = row.how.parse().ok()?;
-        Some(EndRow { number: row.number, task, end: End { run, how, checkpoint: row.checkpoint } })
+        Some(EndRow {
+            number: row.number,
+            task,
+            end: RunEnd { run, reason: how, checkpoint: row.checkpoint },
+        })
     };
     Some(LookAnswer {
         clock_ms: answer.clock_ms,
--- a/lilacpass-node/tests/relay_messages.rs
+++ b/lilacpass-node/tests/relay_messages.rs
@@ -1,7 +1,7 @@
 //! Orders and outcomes on their way between the leader and a relay.
 
 use lilacpass_core::Verdict;
-use lilacpass_jobs::{End, How, JobKey, StepName};
+use lilacpass_jobs::{EndReason, JobKey, RunEnd, StepName};
 use lilacpass_lead::event::{CallError, EndRow, LookAnswer, Refusal, RunningRow};
 use lilacpass_node::relay_messages;
 use lilacpass_schema::v1;
@@ -16,7 +16,7 @@
         percent: 40,
         gauge: 9,
     };
-    let end = End { run: 1, how: How::Broken, checkpoint: String::new() };
+    let end = RunEnd { run: 1, reason: EndReason::GangBroken, checkpoint: String::new() };
     LookAnswer {
         clock_ms: 900_000,
         running: vec![running],
