--- a/lilacpass-lead/src/holds.rs
+++ b/lilacpass-lead/src/holds.rs
@@ -5,7 +5,7 @@
 use lilacpass_jobs::{EndReason, JobKey, RunEnd, WorkerName};
 
 use crate::{
-    event::{CallError, Effect, EndRow, LookAnswer, Now, Refusal, RunningRow},
+    event::{CallError, Effect, Now, PollResponse, Refusal, ReportedEnd, ReportedRun},
     health,
     leader::Leader,
     options::{self, Mechanism},
@@ -29,10 +29,10 @@
         name: &WorkerName,
         sent_ms: u64,
         extra: bool,
-        result: Result<LookAnswer, CallError>,
+        result: Result<PollResponse, CallError>,
         now: Now,
     ) {
-        let retry_ms = self.options.look_retry_ms;
+        let retry_ms = self.options.poll_retry_ms;
         let Some(worker) = self.workers.get_mut(name) else { return };
         if extra {
             worker.extra_look = false;
@@ -69,7 +69,7 @@
         }
     }
 
-    fn on_look_answer(&mut self, name: &WorkerName, sent_ms: u64, answer: LookAnswer, now: Now) {
+    fn on_look_answer(&mut self, name: &WorkerName, sent_ms: u64, answer: PollResponse, now: Now) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         if worker.failed_looks == 1 {
             self.loss.lost(now.steady_ms);
@@ -81,10 +81,10 @@
         let first = !worker.commanded;
         let was_open = worker.is_open();
         if first || worker.failed_looks > 0 || worker.suspected_until_ms > now.steady_ms {
-            self.news.free(name);
+            self.news.mark_worker_freed(name);
         }
         // The look may have been answered before the others went silent.
-        if sent_ms + self.options.avoid_ms > worker.suspected_until_ms {
+        if sent_ms + self.options.worker_avoidance_ms > worker.suspected_until_ms {
             worker.suspected_until_ms = 0;
         }
         worker.heard_ms = now.steady_ms;
@@ -107,7 +107,7 @@
             worker.draining = true;
         }
         if worker.is_open() != was_open {
-            self.rooms.note(worker);
+            self.rooms.update(worker);
         }
         let whole = answer.ends.len() < ENDS_PAGE;
         let mut listed: Vec<RunKey> =
@@ -125,8 +125,8 @@
     /// Ends of other tasks are heard of by it all the same, where the store takes long to note the first.
     fn pause_looks_until_noted(&mut self, name: &WorkerName, now: Now) {
         let per_worker_ms = self.workers.len() as u64 * 1_000 / UNNOTED_LOOKS_A_SECOND;
-        let longest_ms = self.options.look_stuck_ms;
-        let pause_ms = per_worker_ms.clamp(self.options.look_unnoted_ms, longest_ms);
+        let longest_ms = self.options.poll_unrecorded_max_ms;
+        let pause_ms = per_worker_ms.clamp(self.options.poll_unrecorded_min_ms, longest_ms);
         let Some(worker) = self.workers.get_mut(name) else { return };
         if worker.seen_upto > worker.noted_upto && worker.look != Look::UnderWay {
             worker.look = Look::Due { at_ms: now.steady_ms + pause_ms };
@@ -134,10 +134,10 @@
     }
 
     /// Handles ends that are new, and lets the worker forget them once they are stored.
-    fn note_ends(&mut self, name: &WorkerName, ends: Vec<EndRow>, now: Now) {
+    fn note_ends(&mut self, name: &WorkerName, ends: Vec<ReportedEnd>, now: Now) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let seen_upto = worker.seen_upto;
-        let new: Vec<EndRow> = ends.into_iter().filter(|row| row.number > seen_upto).collect();
+        let new: Vec<ReportedEnd> = ends.into_iter().filter(|row| row.number > seen_upto).collect();
         let Some(upto) = new.iter().map(|row| row.number).max() else { return };
         worker.seen_upto = upto;
         for row in new {
@@ -197,7 +197,7 @@
         }
     }
 
-    fn note_running(&mut self, name: &WorkerName, rows: &[RunningRow], now: Now) {
+    fn note_running(&mut self, name: &WorkerName, rows: &[ReportedRun], now: Now) {
         for row in rows {
             let key = (row.task, row.run);
             self.note_begun(row.task.step.job);
@@ -225,7 +225,7 @@
         let Some(worker) = self.workers.get_mut(name) else { return };
         log::warn!(task:% = key.0, run = key.1, worker:% = name; "stray run");
         worker.give(key, need, Phase::Running { since_ms: now.steady_ms });
-        self.rooms.note(worker);
+        self.rooms.update(worker);
         self.stop_run(name, key, now);
     }
 
@@ -353,7 +353,7 @@
 
     /// Data centres of which a worker has just answered.
     fn answering_data_centres(&self, now: Now) -> BTreeSet<String> {
-        let heard_from_ms = now.steady_ms.saturating_sub(2 * self.options.look_wait_ms);
+        let heard_from_ms = now.steady_ms.saturating_sub(2 * self.options.poll_wait_ms);
         self.workers
             .values()
             .filter(|worker| worker.commanded && worker.failed_looks == 0)
@@ -366,10 +366,10 @@
     pub(crate) fn plan_looks(&mut self, now: Now) {
         let may_extend = self.may_extend(now);
         let options = &self.options;
-        let (look_wait_ms, answer_ms) = if self.loss.is_lossy(now.steady_ms) {
-            (options.look_wait_lossy_ms, options.look_answer_lossy_ms)
+        let (poll_wait_ms, answer_ms) = if self.loss.is_lossy(now.steady_ms) {
+            (options.poll_wait_lossy_ms, options.poll_answer_lossy_ms)
         } else {
-            (options.look_wait_ms, options.look_answer_ms)
+            (options.poll_wait_ms, options.poll_answer_ms)
         };
         let due: Vec<WorkerName> = self.looks_due.iter().cloned().collect();
         for name in due {
@@ -388,14 +388,14 @@
                 if worker.draining { options.draining_lease_ms } else { options.lease_ms };
             let lease_until_ms =
                 if extend { worker.extend_lease(lease_ms, now.steady_ms) } else { None };
-            let wait_ms = if worker.commanded && !unnoted { look_wait_ms } else { 0 };
+            let wait_ms = if worker.commanded && !unnoted { poll_wait_ms } else { 0 };
             worker.look = Look::UnderWay;
             self.looks_due.remove(&name);
-            self.effects.push(Effect::Look {
+            self.effects.push(Effect::Poll {
                 worker: worker.entry.name.clone(),
                 address: worker.entry.address.clone(),
                 lease_until_ms,
-                forget_upto: worker.noted_upto,
+                forget_up_to: worker.noted_upto,
                 wait_ms,
                 answer_ms,
                 extra: false,
@@ -410,13 +410,13 @@
             return;
         }
         worker.extra_look = true;
-        self.effects.push(Effect::Look {
+        self.effects.push(Effect::Poll {
             worker: name.clone(),
             address: worker.entry.address.clone(),
             lease_until_ms: None,
-            forget_upto: worker.noted_upto,
+            forget_up_to: worker.noted_upto,
             wait_ms: 0,
-            answer_ms: self.options.look_answer_ms,
+            answer_ms: self.options.poll_answer_ms,
             extra: true,
         });
     }
