--- a/lilacpass-node/src/append.rs
+++ b/lilacpass-node/src/append.rs
@@ -8,7 +8,7 @@
 use lilacpass_lead::event::Record;
 use lilacpass_platform::{
     error::Result as CallResult,
-    store::{self, Append, Condition, Partition, Writer},
+    store::{self, AppendCondition, AppendOutcome, Partition, Writer},
 };
 use rand::RngExt;
 use tokio::time::{self, Instant};
@@ -60,7 +60,7 @@
     writer: Writer,
     records: &Bytes,
 ) -> Result<(), Failure> {
-    let condition = Condition { at: None, writer: Some(writer) };
+    let condition = AppendCondition { expected_end: None, writer: Some(writer) };
     let on_link = node.settings.link.time_for(size::Bytes(records.len() as u64));
     let timeout = MOST_TIMEOUT + on_link * MOST_LINK_TIMES;
     let send = || async {
@@ -70,7 +70,7 @@
         match &result {
             Ok(answer) => {
                 node.store_heard();
-                if matches!(answer, Append::Stored { .. }) {
+                if matches!(answer, AppendOutcome::Stored { .. }) {
                     let took = sent.elapsed();
                     learn(node, took.saturating_sub(on_link));
                     if took >= SLOW {
@@ -110,7 +110,7 @@
     on_link: Duration,
 ) -> Result<(), Failure>
 where
-    F: Future<Output = CallResult<Append>>,
+    F: Future<Output = CallResult<AppendOutcome>>,
 {
     let mut under_way = FuturesUnordered::new();
     let mut patience = first_patience(usual) + on_link * LINK_TIMES;
@@ -132,8 +132,12 @@
             Some(answer) = under_way.next() => answer,
         };
         match answer {
-            Ok(Append::Stored { .. }) => return Ok(()),
-            Ok(Append::Fenced | Append::Elsewhere { .. } | Append::OutOfSequence) => {
+            Ok(AppendOutcome::Stored { .. }) => return Ok(()),
+            Ok(
+                AppendOutcome::Fenced
+                | AppendOutcome::Elsewhere { .. }
+                | AppendOutcome::OutOfSequence,
+            ) => {
                 return Err(Failure::Deposed);
             }
             Err(err) => {
--- a/lilacpass-node/src/desired_watch.rs
+++ b/lilacpass-node/src/desired_watch.rs
@@ -6,7 +6,7 @@
 use lilacpass_platform::{
     desired,
     error::Result,
-    store::{Partition, Placed, Read},
+    store::{Partition, ReadOutcome, StoredRecord},
 };
 use tokio::time;
 
@@ -25,7 +25,7 @@
 
 /// Follows the desired state as long as the process runs.
 pub async fn run(node: Rc<Node>) {
-    let partition = Partition::of_platform(desired::TOPIC);
+    let partition = Partition::platform_topic(desired::TOPIC);
     let mut next = None;
     let mut failing_since_ms = None;
     loop {
@@ -79,17 +79,17 @@
 /// carries them would never be caught up with.
 async fn read(node: &Node, partition: &Partition, from: u64) -> Result<Option<u64>> {
     match node.store.read(partition, from, WAIT, TIMEOUT).await? {
-        Read::Records { records, end } => {
+        ReadOutcome::Records { records, end } => {
             node.store_heard();
             records.iter().for_each(|placed| take_in(node, placed));
             let next = records.last().map_or(from, |placed| placed.offset + 1);
             Ok(Some(next).filter(|next| end.saturating_sub(*next) < MANY_BEHIND))
         }
-        Read::Gone => Ok(None),
+        ReadOutcome::Gone => Ok(None),
     }
 }
 
-fn take_in(node: &Node, placed: &Placed) {
+fn take_in(node: &Node, placed: &StoredRecord) {
     if placed.record.key != desired::KEY {
         return;
     }
--- a/lilacpass-node/src/election.rs
+++ b/lilacpass-node/src/election.rs
@@ -10,7 +10,7 @@
 use lilacpass_lead::event::Record;
 use lilacpass_platform::{
     Error,
-    store::{self, Append, Condition, Newest, Placed, Read},
+    store::{self, AppendCondition, AppendOutcome, NewestPage, ReadOutcome, StoredRecord},
 };
 use lilacpass_schema::v1;
 use prost::Message;
@@ -275,11 +275,13 @@
     let value = node.settings.instance.clone().into_bytes();
     let record = Record { key: CLAIM_KEY.to_owned(), value };
     let Ok(records) = store::encode_records(&[record]) else { return false };
-    let condition = Condition { at: Some(end), writer: None };
+    let condition = AppendCondition { expected_end: Some(end), writer: None };
     let partition = takeover::lead_partition();
     match node.store.append(&partition, condition, &records, CLAIM_TIMEOUT).await {
-        Ok(Append::Stored { .. }) => true,
-        Ok(Append::Elsewhere { .. } | Append::Fenced | Append::OutOfSequence) => false,
+        Ok(AppendOutcome::Stored { .. }) => true,
+        Ok(
+            AppendOutcome::Elsewhere { .. } | AppendOutcome::Fenced | AppendOutcome::OutOfSequence,
+        ) => false,
         Err(err) => {
             log::info!(error:% = err; "take-over can't be announced");
             time::sleep(STORE_RETRY).await;
@@ -295,13 +297,13 @@
 /// instances had lost power, seven of nine learned of the new leader 1.2 s after it had taken over, and
 /// refused their callers until then.
 pub async fn until_written(
-    read: impl Future<Output = Result<Read, Error>>,
+    read: impl Future<Output = Result<ReadOutcome, Error>>,
     watch: Duration,
-) -> Vec<Placed> {
+) -> Vec<StoredRecord> {
     let end = Instant::now() + watch;
     let records = match time::timeout_at(end, read).await {
-        Ok(Ok(Read::Records { records, .. })) => records,
-        Ok(Ok(Read::Gone)) | Err(_) => Vec::new(),
+        Ok(Ok(ReadOutcome::Records { records, .. })) => records,
+        Ok(Ok(ReadOutcome::Gone)) | Err(_) => Vec::new(),
         Ok(Err(err)) => {
             log::info!(error:% = err; "records of the leader can't be read");
             Vec::new()
@@ -313,8 +315,8 @@
     records
 }
 
-fn newest_lead(records: &[Placed]) -> Option<v1::LeadRecord> {
-    let is_lead = |placed: &&Placed| placed.record.key == takeover::LEAD_KEY;
+fn newest_lead(records: &[StoredRecord]) -> Option<v1::LeadRecord> {
+    let is_lead = |placed: &&StoredRecord| placed.record.key == takeover::LEAD_KEY;
     let placed = records.iter().filter(is_lead).max_by_key(|placed| placed.offset)?;
     v1::LeadRecord::decode(placed.record.value.as_slice())
         .inspect_err(|err| log::warn!(error:% = err; "record of the leader is passed over"))
@@ -322,7 +324,7 @@
 }
 
 /// Whether another has announced its take-over since the leader last wrote.
-fn claimed_by_other(node: &Node, page: &Newest) -> bool {
+fn claimed_by_other(node: &Node, page: &NewestPage) -> bool {
     let offset = |key: &str| {
         page.records.iter().find(|placed| placed.record.key == key).map(|placed| placed.offset)
     };
--- a/lilacpass-node/src/entry.rs
+++ b/lilacpass-node/src/entry.rs
@@ -9,8 +9,8 @@
     event::{Answer, Ask},
 };
 use lilacpass_platform::{
-    callers::{self, Wanted},
-    server::{Received, Reply},
+    callers::{self, Operation},
+    server::{ReceivedRequest, Reply},
 };
 use tokio::time::{self, Instant};
 
@@ -38,7 +38,7 @@
 const READY_HEARD_MS: u64 = 400;
 
 /// Answers whether this instance takes callers.
-pub async fn ready(node: Rc<Node>, received: Received) -> Reply {
+pub async fn ready(node: Rc<Node>, received: ReceivedRequest) -> Reply {
     if received.path != callers::READY_PATH {
         return Reply::error(StatusCode::NOT_FOUND, "no such path");
     }
@@ -66,7 +66,7 @@
 }
 
 /// Serves a caller.
-pub async fn serve(node: Rc<Node>, received: Received) -> Reply {
+pub async fn serve(node: Rc<Node>, received: ReceivedRequest) -> Reply {
     if received.path == callers::READY_PATH {
         return ready(node, received).await;
     }
@@ -99,7 +99,7 @@
     }
 }
 
-async fn answer(node: &Node, received: &Received) -> Reply {
+async fn answer(node: &Node, received: &ReceivedRequest) -> Reply {
     let Some(published) = node.published() else {
         let retry_after_s = Some(NO_DESIRED_RETRY_S);
         let reply = Reply::error(StatusCode::SERVICE_UNAVAILABLE, "no desired state is known yet");
@@ -110,11 +110,11 @@
         Err(reply) => return reply,
     };
     let queue = &request.queue.policy;
-    let ask = match request.wanted {
-        Wanted::Submit(job, plan) => Ask::Submit { job, plan, queue: queue.clone() },
-        Wanted::State(job) => Ask::State(job),
-        Wanted::Cancel(job) => Ask::Cancel(job),
-        Wanted::Pending => Ask::Pending { queue: queue.name.clone() },
+    let ask = match request.operation {
+        Operation::Submit(job, plan) => Ask::Submit { job, plan, queue: queue.clone() },
+        Operation::State(job) => Ask::State(job),
+        Operation::Cancel(job) => Ask::Cancel(job),
+        Operation::Pending => Ask::Pending { queue: queue.name.clone() },
     };
     let timeout_ms = match request.queue.timeout_ms {
         0 => request.deadline_ms,
--- a/lilacpass-node/src/leading.rs
+++ b/lilacpass-node/src/leading.rs
@@ -9,7 +9,7 @@
 };
 use lilacpass_platform::{
     store::{self, Writer},
-    workers::{Look, Start, Target},
+    workers::{PollOrder, StartOrder, Target},
 };
 use tokio::{
     sync::{mpsc, oneshot, watch},
@@ -73,7 +73,7 @@
     let bounds = &node.settings.bounds;
     let defaults = Options::default();
     Options {
-        lease_ms: defaults.lease_ms.min(bounds.longest_lease_ms),
+        lease_ms: defaults.lease_ms.min(bounds.max_lease_ms),
         retention_ms: defaults.retention_ms.max(bounds.retention_ms),
         ..defaults
     }
@@ -283,7 +283,12 @@
                 answer_ms,
                 extra,
             } => {
-                let look = Look { lease_until_ms, forget_upto, wait_ms, answer_ms };
+                let look = PollOrder {
+                    lease_until_ms,
+                    forget_up_to: forget_upto,
+                    wait_ms,
+                    response_timeout_ms: answer_ms,
+                };
                 let via = if extra { None } else { self.relay_for(&worker, 0) };
                 let node = self.node.clone();
                 let epoch = self.epoch;
@@ -311,7 +316,7 @@
                 let epoch = self.epoch;
                 self.spawn(async move {
                     let target = Target { name: &worker, address: &address, epoch };
-                    let start = Start {
+                    let start = StartOrder {
                         task,
                         run,
                         payload: &payload,
@@ -357,7 +362,7 @@
     }
 
     fn append(&mut self, records: Vec<Record>) {
-        let calls = append::split(&records, self.node.settings.store_call_bytes);
+        let calls = append::split(&records, self.node.settings.max_append_bytes);
         let first_sequence = self.next_sequence;
         self.next_sequence += calls.len() as u64;
         let node = self.node.clone();
--- a/lilacpass-node/src/node.rs
+++ b/lilacpass-node/src/node.rs
@@ -184,7 +184,7 @@
         match parse(&address).and_then(server::listen) {
             Ok(listener) => {
                 let node = self.clone();
-                let handler = move |received: server::Received| {
+                let handler = move |received: server::ReceivedRequest| {
                     let reply = node.metrics.reply(&received.path);
                     async move { reply }
                 };
--- a/lilacpass-node/src/order_relay.rs
+++ b/lilacpass-node/src/order_relay.rs
@@ -6,7 +6,7 @@
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
 use lilacpass_jobs::WorkerName;
-use lilacpass_platform::workers::{Start, Target};
+use lilacpass_platform::workers::{StartOrder, Target};
 use lilacpass_schema::v1;
 use tokio::{task, time};
 
@@ -61,7 +61,7 @@
     let target = Target { name: &worker, address: &order.address, epoch };
     let number = order.number;
     if let Some(look) = &order.look {
-        let result = node.workers.look(target, relay_messages::read_look(look)).await;
+        let result = node.workers.poll(target, relay_messages::read_look(look)).await;
         return Some(relay_messages::look_outcome(number, result));
     }
     if let Some(start) = &order.start {
@@ -70,7 +70,7 @@
         else {
             return incomplete(number);
         };
-        let start = Start {
+        let start = StartOrder {
             task,
             run,
             payload,
--- a/lilacpass-node/src/orders.rs
+++ b/lilacpass-node/src/orders.rs
@@ -9,7 +9,7 @@
 use lilacpass_core::Verdict;
 use lilacpass_jobs::TaskName;
 use lilacpass_lead::event::{CallError, LookAnswer, Refusal};
-use lilacpass_platform::workers::{self, Look, Start, Target};
+use lilacpass_platform::workers::{self, PollOrder, StartOrder, Target};
 use tokio::time;
 
 use crate::{
@@ -38,15 +38,15 @@
     node: &Rc<Node>,
     via: Via,
     target: Target<'_>,
-    look: Look,
+    look: PollOrder,
 ) -> Result<LookAnswer, CallError> {
     let Some(relay) = via else {
-        let result = Box::pin(node.workers.look(target, look)).await;
+        let result = Box::pin(node.workers.poll(target, look)).await;
         node.relays.borrow_mut().looked(target.name, result.is_ok());
         return result;
     };
     let order = relay_messages::look(target.name.as_str(), target.address, look);
-    let patience = Duration::from_millis(look.wait_ms + look.answer_ms);
+    let patience = Duration::from_millis(look.wait_ms + look.response_timeout_ms);
     match relay_calls::carry_out(node, &relay, order, patience).await {
         Relayed::Outcome(Ok(Some(answer))) => Ok(answer),
         // An answer to something else.
@@ -57,7 +57,9 @@
             }
             Err(err)
         }
-        Relayed::Lost(_) => Box::pin(node.workers.look(target, Look { wait_ms: 0, ..look })).await,
+        Relayed::Lost(_) => {
+            Box::pin(node.workers.poll(target, PollOrder { wait_ms: 0, ..look })).await
+        }
     }
 }
 
@@ -66,7 +68,7 @@
     node: &Rc<Node>,
     via: Via,
     target: Target<'_>,
-    start: Start<'_>,
+    start: StartOrder<'_>,
 ) -> Result<(), CallError> {
     let order = || relay_messages::start(target.name.as_str(), target.address, start);
     give(node, via, order, || Box::pin(node.workers.start(target, start))).await
--- a/lilacpass-node/src/peers.rs
+++ b/lilacpass-node/src/peers.rs
@@ -13,7 +13,7 @@
     client::{Call, Response},
     desired::Limits,
     error::{Error, Result},
-    server::{Received, Reply},
+    server::{ReceivedRequest, Reply},
 };
 use lilacpass_schema::v1;
 use prost::Message;
@@ -44,7 +44,7 @@
 }
 
 /// Serves a peer.
-pub async fn serve(node: Rc<Node>, received: Received) -> Reply {
+pub async fn serve(node: Rc<Node>, received: ReceivedRequest) -> Reply {
     let body = match received.path.as_str() {
         HELLO_PATH => decode(&received.body).map(|hello| on_hello(&node, hello).encode_to_vec()),
         WORK_PATH => match decode::<v1::PeerWork>(&received.body) {
@@ -414,7 +414,7 @@
     timeout: Duration,
 ) -> Option<Advice> {
     let address = node.settings.advice_address.as_deref()?;
-    let result = advice::ask(&node.client, address, step, workers, timeout).await;
+    let result = advice::request(&node.client, address, step, workers, timeout).await;
     node.metrics.advice(metrics::outcome(&result));
     result.inspect_err(|err| log::info!(step:% = step, error:% = err; "no advice")).ok()
 }
--- a/lilacpass-node/src/registered.rs
+++ b/lilacpass-node/src/registered.rs
@@ -4,7 +4,7 @@
 
 use lilacpass_jobs::WorkerName;
 use lilacpass_lead::{Event, event::Registration};
-use lilacpass_platform::{registry, store::Placed};
+use lilacpass_platform::{registry, store::StoredRecord};
 
 /// Looks in a row in which a worker must be missing: entries come back after the store does.
 const MISSING_LOOKS: u32 = 2;
@@ -29,7 +29,7 @@
 impl Registered {
     /// Takes in the newest entries of all workers. Returns what the leader is to be told: all workers, so that one
     /// that it has taken for gone by mistake comes back.
-    pub fn all(&mut self, records: Vec<Placed>) -> Vec<Event> {
+    pub fn all(&mut self, records: Vec<StoredRecord>) -> Vec<Event> {
         for seen in self.seen.values_mut() {
             seen.missing += 1;
         }
@@ -46,7 +46,7 @@
     ///
     /// Each worker writes its entry again and again, mostly with nothing new in it. To tell the leader of each would
     /// have it look for work for that worker each time.
-    pub fn changed(&mut self, records: Vec<Placed>) -> Vec<Event> {
+    pub fn changed(&mut self, records: Vec<StoredRecord>) -> Vec<Event> {
         let mut events = Vec::new();
         for placed in records {
             if placed.record.value.is_empty() {
@@ -59,7 +59,7 @@
     }
 
     /// The worker that an entry names, as it was last seen.
-    fn listed(&self, placed: &Placed) -> Option<Event> {
+    fn listed(&self, placed: &StoredRecord) -> Option<Event> {
         let name = WorkerName::from(placed.record.key.as_str());
         self.seen.get(&name)?.worker.clone().map(Event::WorkerListed)
     }
@@ -70,7 +70,7 @@
     }
 
     /// Notes an entry. Returns what it says that is new.
-    fn take_in(&mut self, placed: &Placed) -> Option<Event> {
+    fn take_in(&mut self, placed: &StoredRecord) -> Option<Event> {
         let key = placed.record.key.as_str();
         let name = WorkerName::from(key);
         let is_new = !self.seen.contains_key(&name);
@@ -97,7 +97,7 @@
     }
 
     /// Notes that an entry was removed.
-    fn removed(&mut self, placed: &Placed) {
+    fn removed(&mut self, placed: &StoredRecord) {
         let name = WorkerName::from(placed.record.key.as_str());
         let Some(seen) = self.seen.get_mut(&name) else { return };
         if placed.offset > seen.offset {
--- a/lilacpass-node/src/registry_watch.rs
+++ b/lilacpass-node/src/registry_watch.rs
@@ -6,7 +6,7 @@
 use lilacpass_platform::{
     error::Result,
     registry,
-    store::{Partition, Placed, Read},
+    store::{Partition, ReadOutcome, StoredRecord},
 };
 use tokio::{
     sync::mpsc,
@@ -26,9 +26,9 @@
 /// What a look brought.
 enum Look {
     /// The newest entries of all workers, and where to read on.
-    All(Vec<Placed>, u64),
+    All(Vec<StoredRecord>, u64),
     /// Entries that were written since, and where to read on.
-    Changes(Vec<Placed>, u64),
+    Changes(Vec<StoredRecord>, u64),
     /// The store has deleted what was written since.
     Gone,
 }
@@ -78,11 +78,11 @@
 
 /// Reads the newest entry of each worker. What is written meanwhile is read after it, since pages are no snapshot.
 async fn read_all(node: &Node) -> Result<Look> {
-    let partition = Partition::of_platform(registry::TOPIC);
+    let partition = Partition::platform_topic(registry::TOPIC);
     let mut records = Vec::new();
     let mut end = None;
     loop {
-        let after = records.last().map(|placed: &Placed| placed.record.key.clone());
+        let after = records.last().map(|placed: &StoredRecord| placed.record.key.clone());
         let page = node.store.newest(&partition, after.as_deref(), TIMEOUT).await?;
         node.store_heard();
         let end = *end.get_or_insert(page.end);
@@ -96,13 +96,13 @@
 
 /// Reads what was written from a place on.
 async fn read_changes(node: &Node, from: u64) -> Result<Look> {
-    let partition = Partition::of_platform(registry::TOPIC);
+    let partition = Partition::platform_topic(registry::TOPIC);
     let mut records = Vec::new();
     let mut next = from;
     loop {
         match node.store.read(&partition, next, Duration::ZERO, TIMEOUT).await? {
-            Read::Gone => return Ok(Look::Gone),
-            Read::Records { records: read, end } => {
+            ReadOutcome::Gone => return Ok(Look::Gone),
+            ReadOutcome::Records { records: read, end } => {
                 node.store_heard();
                 next += read.len() as u64;
                 let is_whole = read.is_empty() || next >= end;
--- a/lilacpass-node/src/relay_messages.rs
+++ b/lilacpass-node/src/relay_messages.rs
@@ -3,7 +3,7 @@
 use lilacpass_core::Verdict;
 use lilacpass_jobs::{End, JobKey, StepName, TaskName};
 use lilacpass_lead::event::{CallError, EndRow, LookAnswer, Refusal, RunningRow};
-use lilacpass_platform::workers::{Look, Start};
+use lilacpass_platform::workers::{PollOrder, StartOrder};
 use lilacpass_schema::v1;
 
 /// An order without its number, and what it does where it is a start.
@@ -16,19 +16,19 @@
 }
 
 /// A look at a worker.
-pub fn look(worker: &str, address: &str, look: Look) -> Order {
+pub fn look(worker: &str, address: &str, look: PollOrder) -> Order {
     let look = v1::RelayedLook {
         lease_until_ms: look.lease_until_ms,
-        forget_upto: look.forget_upto,
+        forget_upto: look.forget_up_to,
         wait_ms: look.wait_ms as u32,
-        answer_ms: look.answer_ms as u32,
+        answer_ms: look.response_timeout_ms as u32,
     };
     let message = v1::RelayedOrder { look: Some(look), ..to(worker, address) };
     Order { message, payload: String::new() }
 }
 
 /// A start.
-pub fn start(worker: &str, address: &str, start: Start<'_>) -> Order {
+pub fn start(worker: &str, address: &str, start: StartOrder<'_>) -> Order {
     let payload = start.payload.to_owned();
     let start = v1::RelayedStart {
         run: Some(write_run(start.task, start.run)),
@@ -66,12 +66,12 @@
 }
 
 /// Reads a look.
-pub fn read_look(look: &v1::RelayedLook) -> Look {
-    Look {
+pub fn read_look(look: &v1::RelayedLook) -> PollOrder {
+    PollOrder {
         lease_until_ms: look.lease_until_ms,
-        forget_upto: look.forget_upto,
+        forget_up_to: look.forget_upto,
         wait_ms: u64::from(look.wait_ms),
-        answer_ms: u64::from(look.answer_ms),
+        response_timeout_ms: u64::from(look.answer_ms),
     }
 }
 
--- a/lilacpass-node/src/takeover.rs
+++ b/lilacpass-node/src/takeover.rs
@@ -4,7 +4,9 @@
 
 use lilacpass_jobs::{Job, JobKey, record};
 use lilacpass_lead::event::Record;
-use lilacpass_platform::store::{self, Append, Condition, Partition, Placed, Read, Writer};
+use lilacpass_platform::store::{
+    self, AppendCondition, AppendOutcome, Partition, ReadOutcome, StoredRecord, Writer,
+};
 use lilacpass_schema::v1;
 use prost::Message;
 use rand::RngExt;
@@ -36,12 +38,12 @@
 
 /// The partition that holds the jobs.
 pub fn jobs_partition() -> Partition {
-    Partition::of_cell("jobs", 0)
+    Partition::own_topic("jobs", 0)
 }
 
 /// The partition in which leaders make themselves known.
 pub fn lead_partition() -> Partition {
-    Partition::of_cell("lead", 0)
+    Partition::own_topic("lead", 0)
 }
 
 /// The record by which this instance makes itself known as the leader.
@@ -86,14 +88,14 @@
         let epoch = end + 1;
         let writer = Writer { epoch, sequence };
         match close_log(node, &partition, end, writer, &mut failures).await? {
-            Append::Stored { .. } => {
+            AppendOutcome::Stored { .. } => {
                 let took_ms = start.elapsed().as_millis() as u64;
                 let jobs = state.into_jobs();
                 log::info!(epoch, jobs = jobs.len(), took_ms; "took over");
                 return Some(Won { epoch, sequence, jobs });
             }
-            Append::Elsewhere { .. } => {}
-            Append::Fenced | Append::OutOfSequence => return None,
+            AppendOutcome::Elsewhere { .. } => {}
+            AppendOutcome::Fenced | AppendOutcome::OutOfSequence => return None,
         }
         end = read_tail(node, &partition, &mut state, end, &mut failures).await?;
         if state.leader_since_start {
@@ -122,8 +124,8 @@
     end: u64,
     writer: Writer,
     failures: &mut Failures,
-) -> Option<Append> {
-    let condition = Condition { at: Some(end), writer: Some(writer) };
+) -> Option<AppendOutcome> {
+    let condition = AppendCondition { expected_end: Some(end), writer: Some(writer) };
     let records = store::encode_records(&[lead_record(node, writer.epoch, 0)]).ok()?;
     loop {
         match node.store.append(partition, condition, &records, CALL_TIMEOUT).await {
@@ -181,8 +183,8 @@
 
 impl State {
     /// Keeps the newest record of each key.
-    fn take_in(&mut self, placed: Placed) {
-        let Placed { offset, record: read } = placed;
+    fn take_in(&mut self, placed: StoredRecord) {
+        let StoredRecord { offset, record: read } = placed;
         if read.key == LEAD_KEY {
             self.leader_since_start |= self.reading_tail;
             return;
@@ -257,7 +259,7 @@
     let mut next = from;
     loop {
         match node.store.read(partition, next, Duration::ZERO, CALL_TIMEOUT).await {
-            Ok(Read::Records { records, end }) => {
+            Ok(ReadOutcome::Records { records, end }) => {
                 failures.end();
                 let read = records.len() as u64;
                 records.into_iter().for_each(|placed| state.take_in(placed));
@@ -266,7 +268,7 @@
                     return Some(end);
                 }
             }
-            Ok(Read::Gone) => next = read_all(node, partition, state, failures).await?,
+            Ok(ReadOutcome::Gone) => next = read_all(node, partition, state, failures).await?,
             Err(err) => failures.retry("tail", &err).await?,
         }
     }
--- a/lilacpass-node/tests/append.rs
+++ b/lilacpass-node/tests/append.rs
@@ -7,7 +7,7 @@
 use lilacpass_node::append;
 use lilacpass_platform::{
     error::Error,
-    store::{self, Append},
+    store::{self, AppendOutcome},
 };
 use tokio::time::{self, Instant};
 
@@ -55,7 +55,7 @@
             return Err(Error::Call(Verdict::MayHaveRun, "no answer in time".to_owned()));
         }
         time::sleep(ANSWER).await;
-        Ok(Append::Stored { end: 1 })
+        Ok(AppendOutcome::Stored { end: 1 })
     };
     assert_eq!(append::until_settled(send, ANSWER, Duration::ZERO).await, Ok(()));
     let late = begin.elapsed() - SILENT;
@@ -70,7 +70,7 @@
     let send = || async {
         calls.set(calls.get() + 1);
         time::sleep(ANSWER).await;
-        Ok(Append::Stored { end: 1 })
+        Ok(AppendOutcome::Stored { end: 1 })
     };
     assert_eq!(append::until_settled(send, ANSWER, Duration::ZERO).await, Ok(()));
     assert_eq!(calls.get(), 1);
@@ -89,7 +89,7 @@
                 Err(Error::Call(Verdict::MayHaveRun, "no answer in time".to_owned()))
             }
             2..=8 => Err(Error::Busy(503)),
-            _ => Ok(Append::Stored { end: 1 }),
+            _ => Ok(AppendOutcome::Stored { end: 1 }),
         }
     };
     assert_eq!(append::until_settled(send, Duration::ZERO, Duration::ZERO).await, Ok(()));
--- a/lilacpass-node/tests/cluster/mod.rs
+++ b/lilacpass-node/tests/cluster/mod.rs
@@ -8,8 +8,8 @@
 
 use lilacpass_core::Resources;
 use lilacpass_platform_standin::{
-    cell::{Cell, Shape},
-    instances::{Instance, Spec},
+    cell::{Cell, CellConfig},
+    instances::{Instance, InstanceSpec},
     load::{self, Callers},
 };
 use tokio::{runtime, task::LocalSet, time};
@@ -52,7 +52,7 @@
     fn new(first_port: u16, members: &[Member], folder: &Path) -> Self {
         let program = Path::new(env!("CARGO_BIN_EXE_lilacpass-node"));
         let resources = Resources::new(16_000, 65_536, 0, 0);
-        let cell = Cell::serve(first_port, Shape::small(WORKERS, resources)).expect("a cell");
+        let cell = Cell::serve(first_port, CellConfig::small(WORKERS, resources)).expect("a cell");
         cell.publish("config", &load::desired_state(1));
         let link_port = first_port + 2 + WORKERS as u16;
         let links: Vec<Rc<Link>> = (link_port..)
@@ -63,7 +63,7 @@
         let instances: Vec<Instance> = (0..)
             .zip(members)
             .zip(&links)
-            .map(|((number, member), link)| Spec {
+            .map(|((number, member), link)| InstanceSpec {
                 number,
                 data_centre: number,
                 cpu_share: member.cpu_share,
--- a/lilacpass-node/tests/cut_off.rs
+++ b/lilacpass-node/tests/cut_off.rs
@@ -11,7 +11,7 @@
 
 use lilacpass_platform_standin::{
     cell::Faults,
-    load::{HOST, Handed, QUEUES},
+    load::{HOST, QUEUES, SubmitOutcome},
 };
 use lilacpass_schema::v1;
 use tokio::{task, time};
@@ -70,7 +70,7 @@
             wait_for(&instance.callers_address, is_served).await;
         }
         let (key, handed) = cluster.callers.submit(QUEUES[0], lasting_job()).await;
-        assert_eq!(handed, Handed::Accepted);
+        assert_eq!(handed, SubmitOutcome::Accepted);
         let leader = cluster.callers.leader(&cluster.peer_addresses()).await.expect("one leads");
         let follower = cluster.instances[1 - leader].callers_address.clone();
         cluster.cell.faults.replace(Faults { store_slow_ms: 60_000, ..Faults::default() });
--- a/lilacpass-node/tests/desired_watch.rs
+++ b/lilacpass-node/tests/desired_watch.rs
@@ -9,7 +9,7 @@
 use lilacpass_node::{desired_watch, node::Node};
 use lilacpass_platform::{
     desired::{self, Limits},
-    server::{self, Received, Reply},
+    server::{self, ReceivedRequest, Reply},
     store,
 };
 use lilacpass_platform_standin::{instances, load};
@@ -29,7 +29,7 @@
 
 /// Answers as a store does that was away while all versions but the first were published. Each read brings one, as
 /// two are longer than the most that a read brings.
-async fn answer(received: Received, up: Duration) -> Reply {
+async fn answer(received: ReceivedRequest, up: Duration) -> Reply {
     let (down, back) = OUTAGE;
     if up >= down && up < back {
         return Reply::status(StatusCode::SERVICE_UNAVAILABLE);
--- a/lilacpass-node/tests/registry_watch.rs
+++ b/lilacpass-node/tests/registry_watch.rs
@@ -6,9 +6,9 @@
 use lilacpass_jobs::WorkerName;
 use lilacpass_lead::{Event, event::Record};
 use lilacpass_node::{node::Node, registered::Registered, registry_watch};
-use lilacpass_platform::store::Placed;
+use lilacpass_platform::store::StoredRecord;
 use lilacpass_platform_standin::{
-    cell::{Cell, Shape},
+    cell::{Cell, CellConfig},
     instances,
 };
 use tokio::{runtime, sync::mpsc, task, time};
@@ -16,8 +16,11 @@
 const GOOD: &str = r#"{"service": "s", "address": "10.0.0.1:80", "state": "ready"}"#;
 const DRAINS: &str = r#"{"service": "s", "address": "10.0.0.1:80", "state": "draining"}"#;
 
-fn placed(key: &str, offset: u64, value: &str) -> Placed {
-    Placed { offset, record: Record { key: key.to_owned(), value: value.as_bytes().to_vec() } }
+fn placed(key: &str, offset: u64, value: &str) -> StoredRecord {
+    StoredRecord {
+        offset,
+        record: Record { key: key.to_owned(), value: value.as_bytes().to_vec() },
+    }
 }
 
 fn is_listed(event: &Event, name: &str) -> bool {
@@ -105,11 +108,11 @@
 fn following_the_workers_leaves_a_thin_link_free() {
     const LINK_BYTES_A_SECOND: u64 = 250_000;
     const LASTS: Duration = Duration::from_secs(4);
-    let shape = Shape {
+    let shape = CellConfig {
         workers: 200,
-        workers_a_data_centre: 40,
+        workers_per_data_centre: 40,
         capacity: Resources::new(16_000, 65_536, 0, 0),
-        registers_each: Duration::from_millis(1_500),
+        registration_interval: Duration::from_millis(1_500),
     };
     let runtime = runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     task::LocalSet::new().block_on(&runtime, async {
@@ -120,7 +123,7 @@
         time::sleep(LASTS).await;
         inbox.close();
         let most = LINK_BYTES_A_SECOND * LASTS.as_secs() / 4;
-        let read: u64 = cell.calls.borrow().values().map(|calls| calls.answered_bytes).sum();
+        let read: u64 = cell.calls.borrow().values().map(|calls| calls.response_bytes).sum();
         assert!(read > 0 && read <= most, "{read} bytes, {most} at most");
     });
 }
--- a/lilacpass-node/tests/relay_state.rs
+++ b/lilacpass-node/tests/relay_state.rs
@@ -9,11 +9,12 @@
     relay_messages,
     relays::{Relayed, Relays},
 };
-use lilacpass_platform::workers::Look;
+use lilacpass_platform::workers::PollOrder;
 use tokio::sync::oneshot;
 
 const MEANS: Means = Means { cpu_millis: 500, link: 0 };
-const LOOK: Look = Look { lease_until_ms: None, forget_upto: 0, wait_ms: 800, answer_ms: 400 };
+const LOOK: PollOrder =
+    PollOrder { lease_until_ms: None, forget_up_to: 0, wait_ms: 800, response_timeout_ms: 400 };
 /// Time between reviews.
 const REVIEW_MS: u64 = 200;
 
--- a/lilacpass-node/tests/relays.rs
+++ b/lilacpass-node/tests/relays.rs
@@ -12,7 +12,7 @@
 use http::{Method, StatusCode};
 use lilacpass_jobs::JobKey;
 use lilacpass_platform::client::{Call, Client};
-use lilacpass_platform_standin::load::{Handed, QUEUES};
+use lilacpass_platform_standin::load::{QUEUES, SubmitOutcome};
 use lilacpass_schema::v1;
 use prost::Message;
 use rustix::process::Signal;
@@ -87,7 +87,7 @@
     let mut keys = Vec::new();
     for _ in 0..jobs {
         let (key, handed) = cluster.callers.submit(QUEUES[1], job()).await;
-        assert_eq!(handed, Handed::Accepted);
+        assert_eq!(handed, SubmitOutcome::Accepted);
         keys.push(key);
     }
     keys
@@ -100,8 +100,8 @@
         let state = cluster.callers.wait_for(QUEUES[1], job, &["completed", "failed"], end).await;
         assert_eq!(state, "completed");
     }
-    let judge = cluster.cell.judge.borrow();
-    assert!(judge.is_clean(), "{judge:?}");
+    let checker = cluster.cell.checker.borrow();
+    assert!(checker.is_clean(), "{checker:?}");
 }
 
 fn start(cluster: &mut Cluster) {
--- a/lilacpass-node/tests/thin_links.rs
+++ b/lilacpass-node/tests/thin_links.rs
@@ -10,7 +10,7 @@
 use lilacpass_platform::client::{Call, Client};
 use lilacpass_platform_standin::{
     load,
-    load::{HOST, Handed, QUEUES},
+    load::{HOST, QUEUES, SubmitOutcome},
 };
 use lilacpass_schema::v1;
 use prost::Message;
@@ -143,7 +143,7 @@
             assert!(comes_to_serve(&instance.callers_address, QUEUES[0].name).await);
         }
         let (_, handed) = cluster.callers.submit(QUEUES[1], small_job()).await;
-        assert_eq!(handed, Handed::Accepted);
+        assert_eq!(handed, SubmitOutcome::Accepted);
         let leader = cluster.callers.leader(&cluster.peer_addresses()).await.expect("one leads");
         let follower = 1 - leader;
         cluster.links[follower].cut();
--- a/lilacpass-node/tests/watch.rs
+++ b/lilacpass-node/tests/watch.rs
@@ -6,14 +6,14 @@
 use lilacpass_node::election;
 use lilacpass_platform::{
     error::Error,
-    store::{Placed, Read},
+    store::{ReadOutcome, StoredRecord},
 };
 use tokio::time::{self, Instant};
 
 const WATCH: Duration = Duration::from_millis(1_300);
 
-fn lead() -> Placed {
-    Placed { offset: 7, record: Record { key: "lead".to_owned(), value: vec![1] } }
+fn lead() -> StoredRecord {
+    StoredRecord { offset: 7, record: Record { key: "lead".to_owned(), value: vec![1] } }
 }
 
 /// After all instances have lost power callers are refused for over a second, though a new leader is there.
@@ -23,7 +23,7 @@
     let begin = Instant::now();
     let read = async {
         time::sleep(Duration::from_millis(100)).await;
-        Ok(Read::Records { records: vec![lead()], end: 8 })
+        Ok(ReadOutcome::Records { records: vec![lead()], end: 8 })
     };
     assert_eq!(election::until_written(read, WATCH).await, [lead()]);
     assert_eq!(begin.elapsed(), Duration::from_millis(100));
@@ -34,7 +34,7 @@
 #[tokio::test(start_paused = true)]
 async fn the_whole_time_is_waited_where_nothing_is_written() {
     let begin = Instant::now();
-    let nothing = async { Ok(Read::Records { records: Vec::new(), end: 7 }) };
+    let nothing = async { Ok(ReadOutcome::Records { records: Vec::new(), end: 7 }) };
     assert_eq!(election::until_written(nothing, WATCH).await, []);
     assert_eq!(begin.elapsed(), WATCH);
     let begin = Instant::now();
@@ -42,7 +42,7 @@
     assert_eq!(election::until_written(failed, WATCH).await, []);
     assert_eq!(begin.elapsed(), WATCH);
     let begin = Instant::now();
-    let silent = std::future::pending::<Result<Read, Error>>();
+    let silent = std::future::pending::<Result<ReadOutcome, Error>>();
     assert_eq!(election::until_written(silent, WATCH).await, []);
     assert_eq!(begin.elapsed(), WATCH);
 }
