--- a/lilacpass-node/src/bin/lilacpass-cell.rs
+++ b/lilacpass-node/src/bin/lilacpass-cell.rs
@@ -7,7 +7,7 @@
 use clap::{Parser, Subcommand};
 use http::{Method, StatusCode};
 use lilacpass_jobs::JobKey;
-use lilacpass_node::{operators, trace};
+use lilacpass_node::{operator_api, trace};
 use lilacpass_platform::client::{Call, Client, Response};
 use quick_error::quick_error;
 use serde_json::Value;
@@ -85,10 +85,10 @@
 
 fn run(command: Command) -> Result<String, Error> {
     match command {
-        Command::Instance { address } => ask(&address, operators::INSTANCE_PATH),
-        Command::Status { address } => ask(&address, operators::STATUS_PATH),
+        Command::Instance { address } => ask(&address, operator_api::INSTANCE_PATH),
+        Command::Status { address } => ask(&address, operator_api::STATUS_PATH),
         Command::Explain { job, address: Some(address), .. } => {
-            ask(&address, &format!("{}{job}", operators::EXPLAIN_PATH))
+            ask(&address, &format!("{}{job}", operator_api::EXPLAIN_PATH))
         }
         Command::Explain { job, logs: Some(folder), .. } => {
             let lines = trace::read(&folder, job)?;
--- a/lilacpass-node/src/budget.rs
+++ b/lilacpass-node/src/budget.rs
@@ -8,33 +8,33 @@
 
 /// What each order adds to the budget: one in ten may be sent again. The worst loss seen is one in
 /// eighteen.
-const EARNED: f64 = 0.1;
-/// The most that can be saved up: a burst of lost answers, as when a worker's connections are reset.
-const MOST: f64 = 20.0;
+const CREDIT_PER_ORDER: f64 = 0.1;
+/// The most that can be credit up: a burst of lost answers, as when a worker's connections are reset.
+const MAX_CREDIT: f64 = 20.0;
 
 /// A budget for sending orders again.
 #[derive(Debug)]
 pub struct RetryBudget {
-    saved: Cell<f64>,
+    credit: Cell<f64>,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { saved: Cell::new(MOST) }
+        Self { credit: Cell::new(MAX_CREDIT) }
     }
 }
 
 impl RetryBudget {
     /// An order was sent for the first time.
     pub fn earn(&self) {
-        self.saved.set((self.saved.get() + EARNED).min(MOST));
+        self.credit.set((self.credit.get() + CREDIT_PER_ORDER).min(MAX_CREDIT));
     }
 
     /// Takes what sending an order again costs. Returns whether there was enough.
     pub fn spend(&self) -> bool {
-        let enough = self.saved.get() >= 1.0;
+        let enough = self.credit.get() >= 1.0;
         if enough {
-            self.saved.set(self.saved.get() - 1.0);
+            self.credit.set(self.credit.get() - 1.0);
         }
         enough
     }
--- a/lilacpass-node/src/desired_watch.rs
+++ b/lilacpass-node/src/desired_watch.rs
@@ -14,14 +14,14 @@
 
 /// How long a read waits for a change. Bounds how long a connection that has gone silent hides one,
 /// together with the timeout below; the platform allows 2 s for a change to be in force.
-const WAIT: Duration = Duration::from_millis(1_000);
+const POLL_WAIT: Duration = Duration::from_millis(1_000);
 /// How long the store may take to begin its answer beyond the wait, and may pause within it. Its slowest
 /// answers take 0.6 s.
-const TIMEOUT: Duration = Duration::from_millis(700);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
 /// With so many records or more still to be read, the newest of each key are read in place of them.
-const MANY_BEHIND: u64 = 2;
+const SKIP_TO_NEWEST_LAG: u64 = 2;
 /// Pause after a failed read.
-const RETRY: Duration = Duration::from_millis(200);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Follows the desired state as long as the process runs.
 pub async fn run(node: Rc<Node>) {
@@ -30,24 +30,24 @@
     let mut failing_since_ms = None;
     loop {
         let result = match next {
-            None => newest(&node, &partition).await.map(Some),
-            Some(from) => read(&node, &partition, from).await,
+            None => read_newest(&node, &partition).await.map(Some),
+            Some(from) => read_changes(&node, &partition, from).await,
         };
         node.metrics.desired_read("store", metrics::outcome(&result));
-        note_failing(&mut failing_since_ms, &result);
+        log_read_failures(&mut failing_since_ms, &result);
         let has_failed = result.is_err();
-        if let Ok(place) = result {
-            next = place;
+        if let Ok(position) = result {
+            next = position;
         }
         // After a failure the place is kept: what has come since is mostly nothing, and shorter than the newest.
         if has_failed || next.is_none() {
-            time::sleep(RETRY).await;
+            time::sleep(RETRY_PAUSE).await;
         }
     }
 }
 
 /// Writes a line when reads begin to fail, and one when they end to.
-fn note_failing<T>(failing_since_ms: &mut Option<u64>, result: &Result<T>) {
+fn log_read_failures<T>(failing_since_ms: &mut Option<u64>, result: &Result<T>) {
     let now_ms = clock::now().steady_ms;
     match result {
         Ok(_) => {
@@ -65,10 +65,10 @@
 }
 
 /// Takes in the newest desired state. Returns where to read on.
-async fn newest(node: &Node, partition: &Partition) -> Result<u64> {
-    let page = node.store.newest(partition, None, TIMEOUT).await?;
-    node.store_heard();
-    page.records.iter().for_each(|placed| take_in(node, placed));
+async fn read_newest(node: &Node, partition: &Partition) -> Result<u64> {
+    let page = node.store.newest(partition, None, RESPONSE_TIMEOUT).await?;
+    node.record_store_response();
+    page.records.iter().for_each(|placed| apply(node, placed));
     Ok(page.end)
 }
 
@@ -77,19 +77,19 @@
 /// Each desired state is whole, so of several that wait the last alone counts. Read in order, those that came in an
 /// outage keep an instance with a thin link behind for long after its end, and those that come faster than a link
 /// carries them would never be caught up with.
-async fn read(node: &Node, partition: &Partition, from: u64) -> Result<Option<u64>> {
-    match node.store.read(partition, from, WAIT, TIMEOUT).await? {
+async fn read_changes(node: &Node, partition: &Partition, from: u64) -> Result<Option<u64>> {
+    match node.store.read(partition, from, POLL_WAIT, RESPONSE_TIMEOUT).await? {
         Read::Records { records, end } => {
-            node.store_heard();
-            records.iter().for_each(|placed| take_in(node, placed));
+            node.record_store_response();
+            records.iter().for_each(|placed| apply(node, placed));
             let next = records.last().map_or(from, |placed| placed.offset + 1);
-            Ok(Some(next).filter(|next| end.saturating_sub(*next) < MANY_BEHIND))
+            Ok(Some(next).filter(|next| end.saturating_sub(*next) < SKIP_TO_NEWEST_LAG))
         }
         Read::Gone => Ok(None),
     }
 }
 
-fn take_in(node: &Node, placed: &Placed) {
+fn apply(node: &Node, placed: &Placed) {
     if placed.record.key != desired::KEY {
         return;
     }
--- a/lilacpass-node/src/election.rs
+++ b/lilacpass-node/src/election.rs
@@ -17,35 +17,35 @@
 use rand::{RngExt, seq::IteratorRandom};
 use tokio::time::{self, Instant};
 
-use crate::{clock, lead_handle, leading, metrics, node::Node, peers, takeover};
+use crate::{clock, leader_handle, leader_loop, metrics, node::Node, peers, takeover};
 
 /// Time between greetings to the leader.
-const HELLO_INTERVAL: Duration = Duration::from_millis(200);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 /// How long the leader may take to answer a greeting. A slow instance of an eighth of the ordinary
 /// speed answers within 100 ms. One that takes longer is only watched, which costs a read.
-const HELLO_TIMEOUT: Duration = Duration::from_millis(250);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long a leader that is silent must go without renewal, so that a leader that merely can't be
 /// reached from here is left alone. Renewals are 0.2 s apart, and may be late by a tenth of a second
 /// where the processor of the leader is shared out by tenths. What the store takes is added.
-const SILENT_WATCH: Duration = Duration::from_millis(320);
+const UNRESPONSIVE_RENEWAL_WAIT: Duration = Duration::from_millis(320);
 /// The same where its address refuses connections: its process is most likely gone.
-const REFUSED_WATCH: Duration = Duration::from_millis(260);
+const REFUSED_RENEWAL_WAIT: Duration = Duration::from_millis(260);
 /// The watch is longer by so many times what the store took to tell who leads: a renewal takes one
 /// such time, and the next begins after it.
-const STORE_TIMES: u32 = 2;
+const STORE_LATENCY_FACTOR: u32 = 2;
 /// How long another that has announced its take-over is given for it.
-const CLAIM_WATCH: Duration = Duration::from_millis(1_300);
+const CLAIM_WAIT: Duration = Duration::from_millis(1_300);
 /// Spreads instances that notice the same loss at the same time.
-const SPREAD: Duration = Duration::from_millis(40);
+const MAX_JITTER: Duration = Duration::from_millis(40);
 /// How much longer an instance waits that is smaller than others: those notice the same loss and
 /// announce their take-over meanwhile. A leader of 350 workers fills a quarter of a core; one with
 /// an eighth places 200 tasks a second where 700 arrive, and falls behind for good.
-const SMALLER_WAIT: Duration = Duration::from_millis(350);
+const SMALL_INSTANCE_DELAY: Duration = Duration::from_millis(350);
 /// An instance with less counts as small while nobody has told it of others.
 const SMALL_CPU_MILLIS: u32 = 250;
 /// Greetings in a row in which a leader says that the store does not answer it, before an instance
 /// that the store does answer takes over.
-const CUT_OFF_GREETINGS: u32 = 3;
+const CUT_OFF_HEARTBEATS: u32 = 3;
 /// How long the store may take for a call here.
 const STORE_TIMEOUT: Duration = Duration::from_millis(700);
 /// How long the store may take to note an announcement: a slow one takes 0.8 s. Given up sooner, it was noted
@@ -56,51 +56,51 @@
 const PROMOTE_STORE_TIMEOUT: Duration = Duration::from_millis(150);
 /// How many peers, drawn at random, are asked who leads before the store is tried again. Each that does
 /// not answer takes the time of a greeting; forty of them would take ten seconds.
-const PEERS_ASKED: usize = 4;
+const PEER_SAMPLE_SIZE: usize = 4;
 /// Pause after a store call that failed.
-const STORE_RETRY: Duration = Duration::from_millis(250);
+const STORE_RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Key of the record by which an instance announces that it is taking over.
 const CLAIM_KEY: &str = "claim";
 
 /// What a greeting showed.
-enum Greeting {
+enum HeartbeatResult {
     Leads { store_reachable: bool },
-    Elsewhere,
+    OtherLeader,
     NotLeading,
-    Refused,
-    Silent,
+    ConnectionRefused,
+    Unresponsive,
 }
 
 /// Follows or leads as long as the process runs.
 pub async fn run(node: Rc<Node>) {
-    let mut cut_off = 0;
+    let mut store_failures = 0;
     loop {
         if node.leads() {
-            lead_handle::ended(&node).await;
+            leader_handle::wait_until_ended(&node).await;
             continue;
         }
         let view = node.leader.borrow().clone();
         let Some(address) = view.address else {
-            contest(&node, Duration::ZERO).await;
+            campaign(&node, Duration::ZERO).await;
             continue;
         };
-        match greet(&node, &address, view.epoch).await {
-            Greeting::Leads { store_reachable } => {
-                cut_off = if store_reachable { 0 } else { cut_off + 1 };
-                if cut_off >= CUT_OFF_GREETINGS && node.store_reachable() {
+        match send_heartbeat(&node, &address, view.epoch).await {
+            HeartbeatResult::Leads { store_reachable } => {
+                store_failures = if store_reachable { 0 } else { store_failures + 1 };
+                if store_failures >= CUT_OFF_HEARTBEATS && node.store_reachable() {
                     log::info!(leader = address.as_str(); "the store does not answer the leader");
-                    contest_beside_greetings(&node, &address, view.epoch).await;
+                    campaign_with_heartbeats(&node, &address, view.epoch).await;
                 }
                 let mut leaving = node.leaving.subscribe();
                 tokio::select! {
-                    () = time::sleep(HELLO_INTERVAL) => {}
+                    () = time::sleep(HEARTBEAT_INTERVAL) => {}
                     _ = leaving.changed() => {}
                 }
             }
-            Greeting::Elsewhere => {}
-            Greeting::NotLeading => contest(&node, Duration::ZERO).await,
-            Greeting::Refused => contest(&node, REFUSED_WATCH).await,
-            Greeting::Silent => contest(&node, SILENT_WATCH).await,
+            HeartbeatResult::OtherLeader => {}
+            HeartbeatResult::NotLeading => campaign(&node, Duration::ZERO).await,
+            HeartbeatResult::ConnectionRefused => campaign(&node, REFUSED_RENEWAL_WAIT).await,
+            HeartbeatResult::Unresponsive => campaign(&node, UNRESPONSIVE_RENEWAL_WAIT).await,
         }
     }
 }
@@ -109,50 +109,50 @@
 ///
 /// Where the store answers nobody, the try lasts for a second or two. Without the greetings, callers who ask
 /// for the state of their jobs in that time are told that there is no leader, though it lives and knows.
-async fn contest_beside_greetings(node: &Rc<Node>, address: &str, epoch: u64) {
-    let mut contest = pin!(contest(node, REFUSED_WATCH));
+async fn campaign_with_heartbeats(node: &Rc<Node>, address: &str, epoch: u64) {
+    let mut campaign = pin!(campaign(node, REFUSED_RENEWAL_WAIT));
     loop {
         tokio::select! {
-            () = &mut contest => return,
-            () = time::sleep(HELLO_INTERVAL) => {}
+            () = &mut campaign => return,
+            () = time::sleep(HEARTBEAT_INTERVAL) => {}
         }
         // What it shows is noted; the next greeting after this acts on it.
-        let _greeting = greet(node, address, epoch).await;
+        let _result = send_heartbeat(node, address, epoch).await;
     }
 }
 
-async fn greet(node: &Rc<Node>, address: &str, epoch: u64) -> Greeting {
+async fn send_heartbeat(node: &Rc<Node>, address: &str, epoch: u64) -> HeartbeatResult {
     if address == node.peer_address() {
         // A former life of this instance led.
-        return Greeting::NotLeading;
+        return HeartbeatResult::NotLeading;
     }
-    let result = peers::hello(node, address, HELLO_TIMEOUT).await;
-    node.metrics.greeting(metrics::outcome(&result));
-    note_silence(node, address, &result);
+    let result = peers::send_heartbeat(node, address, HEARTBEAT_TIMEOUT).await;
+    node.metrics.heartbeat(metrics::outcome(&result));
+    log_reachability(node, address, &result);
     match result {
         Ok(reply) if reply.leads => {
-            node.leader_heard_ms.set(clock::now().steady_ms);
+            node.last_leader_response_ms.set(clock::now().steady_ms);
             node.cut_off.set(false);
             node.leader_store_reachable.set(reply.store_reachable);
             node.follow(reply.epoch, address);
-            node.most_cpu_millis.set(reply.most_cpu_millis);
-            node.known_members.borrow_mut().told(reply.peers_revision, reply.peers);
-            Greeting::Leads { store_reachable: reply.store_reachable }
+            node.max_cpu_millis.set(reply.most_cpu_millis);
+            node.known_members.borrow_mut().update(reply.peers_revision, reply.peers);
+            HeartbeatResult::Leads { store_reachable: reply.store_reachable }
         }
         Ok(reply) if reply.epoch > epoch && !reply.leader_address.is_empty() => {
             node.follow(reply.epoch, &reply.leader_address);
-            Greeting::Elsewhere
+            HeartbeatResult::OtherLeader
         }
-        Ok(_) => Greeting::NotLeading,
-        Err(Error::Call(Verdict::NotRun, _)) => Greeting::Refused,
-        Err(_) => Greeting::Silent,
+        Ok(_) => HeartbeatResult::NotLeading,
+        Err(Error::Call(Verdict::NotRun, _)) => HeartbeatResult::ConnectionRefused,
+        Err(_) => HeartbeatResult::Unresponsive,
     }
 }
 
 /// Writes a line when greetings begin to go unanswered, and one when they are answered again.
-fn note_silence<T>(node: &Node, address: &str, result: &Result<T, Error>) {
-    let is_silent = result.is_err();
-    if node.leader_is_silent.replace(is_silent) == is_silent {
+fn log_reachability<T>(node: &Node, address: &str, result: &Result<T, Error>) {
+    let is_unresponsive = result.is_err();
+    if node.leader_unresponsive.replace(is_unresponsive) == is_unresponsive {
         return;
     }
     match result {
@@ -162,22 +162,22 @@
 }
 
 /// Takes over if the leader is not renewed for `watch`.
-async fn contest(node: &Rc<Node>, watch: Duration) {
+async fn campaign(node: &Rc<Node>, renewal_wait: Duration) {
     let partition = takeover::lead_partition();
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     let page = match node.store.newest(&partition, None, STORE_TIMEOUT).await {
         Ok(page) => page,
         Err(err) => {
             log::info!(error:% = err; "leader can't be looked up");
             node.cut_off.set(true);
-            ask_peers(node).await;
-            time::sleep(STORE_RETRY).await;
+            ask_peers_for_leader(node).await;
+            time::sleep(STORE_RETRY_PAUSE).await;
             return;
         }
     };
-    node.store_heard();
+    node.record_store_response();
     let known = node.leader.borrow().clone();
-    let lead = newest_lead(&page.records);
+    let lead = newest_lead_record(&page.records);
     if let Some(lead) = &lead
         && (lead.epoch > known.epoch || known.address.is_none())
     {
@@ -185,45 +185,46 @@
         return;
     }
     if node.is_leaving() {
-        time::sleep(HELLO_INTERVAL).await;
+        time::sleep(HEARTBEAT_INTERVAL).await;
         return;
     }
-    let store_took = asked.elapsed();
-    let watch = if lead.is_some() && !watch.is_zero() {
-        watch + store_took * STORE_TIMES
+    let store_latency = requested_at.elapsed();
+    let renewal_wait = if lead.is_some() && !renewal_wait.is_zero() {
+        renewal_wait + store_latency * STORE_LATENCY_FACTOR
     } else {
         Duration::ZERO
     };
-    let watch = if claimed_by_other(node, &page) { watch.max(CLAIM_WATCH) } else { watch };
-    let spread = SPREAD.mul_f64(rand::rng().random());
-    let watch = watch + smaller_wait(node) + spread;
-    let read = node.store.read(&partition, page.end, watch, STORE_TIMEOUT);
-    let written = until_written(read, watch).await;
+    let renewal_wait =
+        if claimed_by_other(node, &page) { renewal_wait.max(CLAIM_WAIT) } else { renewal_wait };
+    let jitter = MAX_JITTER.mul_f64(rand::rng().random());
+    let renewal_wait = renewal_wait + small_instance_delay(node) + jitter;
+    let read = node.store.read(&partition, page.end, renewal_wait, STORE_TIMEOUT);
+    let written = wait_for_records(read, renewal_wait).await;
     if !written.is_empty() {
-        node.store_heard();
-        if let Some(lead) = newest_lead(&written) {
+        node.record_store_response();
+        if let Some(lead) = newest_lead_record(&written) {
             node.follow(lead.epoch, &lead.address);
         }
         return;
     }
-    let has_changed = node.leads() || *node.leader.borrow() != known;
-    if !has_changed {
+    let leader_changed = node.leads() || *node.leader.borrow() != known;
+    if !leader_changed {
         claim_and_take_over(node, page.end).await;
     }
 }
 
 /// How much longer this instance leaves the lead to larger ones.
-fn smaller_wait(node: &Node) -> Duration {
-    let most_cpu_millis = match node.most_cpu_millis.get() {
+fn small_instance_delay(node: &Node) -> Duration {
+    let max_cpu_millis = match node.max_cpu_millis.get() {
         0 => SMALL_CPU_MILLIS,
         known => known,
     };
-    if node.settings.cpu_millis < most_cpu_millis { SMALLER_WAIT } else { Duration::ZERO }
+    if node.settings.cpu_millis < max_cpu_millis { SMALL_INSTANCE_DELAY } else { Duration::ZERO }
 }
 
 /// Takes over at the word of the former leader, if the store answers this instance: at once, or
 /// where the former leader is leaving, at all.
-pub async fn promote(node: &Rc<Node>, former_is_leaving: bool) {
+pub async fn take_over_on_request(node: &Rc<Node>, former_is_leaving: bool) {
     if node.leads() || node.is_leaving() {
         return;
     }
@@ -242,7 +243,7 @@
     let node = node.clone();
     // Goes on if the connection to the former leader ends meanwhile.
     let taking_over = tokio::task::spawn_local(async move {
-        let (_, snapshot) = tokio::join!(claim(&node, page.end), takeover::read(&node));
+        let (_, snapshot) = tokio::join!(claim(&node, page.end), takeover::read_snapshot(&node));
         take_over(&node, snapshot).await;
     });
     if let Err(err) = taking_over.await {
@@ -252,7 +253,7 @@
 
 /// Announces a take-over, and takes over if nobody else has written since `end`.
 async fn claim_and_take_over(node: &Rc<Node>, end: u64) {
-    let (claimed, snapshot) = tokio::join!(claim(node, end), takeover::read(node));
+    let (claimed, snapshot) = tokio::join!(claim(node, end), takeover::read_snapshot(node));
     if claimed {
         take_over(node, snapshot).await;
     }
@@ -263,8 +264,8 @@
     if node.leads() || node.taking_over.replace(true) {
         return;
     }
-    if let Some(won) = takeover::close(node, snapshot).await {
-        leading::start(node, won);
+    if let Some(leadership) = takeover::complete(node, snapshot).await {
+        leader_loop::start(node, leadership);
     }
     node.taking_over.set(false);
 }
@@ -282,7 +283,7 @@
         Ok(Append::Elsewhere { .. } | Append::Fenced | Append::OutOfSequence) => false,
         Err(err) => {
             log::info!(error:% = err; "take-over can't be announced");
-            time::sleep(STORE_RETRY).await;
+            time::sleep(STORE_RETRY_PAUSE).await;
             false
         }
     }
@@ -294,11 +295,11 @@
 /// Instances that see another's announcement must not sleep out the time that is given to it: when all
 /// instances had lost power, seven of nine learned of the new leader 1.2 s after it had taken over, and
 /// refused their callers until then.
-pub async fn until_written(
+pub async fn wait_for_records(
     read: impl Future<Output = Result<Read, Error>>,
-    watch: Duration,
+    max_wait: Duration,
 ) -> Vec<Placed> {
-    let end = Instant::now() + watch;
+    let end = Instant::now() + max_wait;
     let records = match time::timeout_at(end, read).await {
         Ok(Ok(Read::Records { records, .. })) => records,
         Ok(Ok(Read::Gone)) | Err(_) => Vec::new(),
@@ -313,7 +314,7 @@
     records
 }
 
-fn newest_lead(records: &[Placed]) -> Option<v1::LeadRecord> {
+fn newest_lead_record(records: &[Placed]) -> Option<v1::LeadRecord> {
     let is_lead = |placed: &&Placed| placed.record.key == takeover::LEAD_KEY;
     let placed = records.iter().filter(is_lead).max_by_key(|placed| placed.offset)?;
     v1::LeadRecord::decode(placed.record.value.as_slice())
@@ -335,16 +336,16 @@
 }
 
 /// Asks other instances who leads, for one that the store does not answer.
-async fn ask_peers(node: &Rc<Node>) {
+async fn ask_peers_for_leader(node: &Rc<Node>) {
     let own_address = node.peer_address();
     let peers = {
         let known = node.known_members.borrow();
         let others = known.addresses.iter().filter(|address| **address != own_address).cloned();
-        others.sample(&mut rand::rng(), PEERS_ASKED)
+        others.sample(&mut rand::rng(), PEER_SAMPLE_SIZE)
     };
     let epoch = node.leader.borrow().epoch;
     for address in &peers {
-        match peers::hello(node, address, HELLO_TIMEOUT).await {
+        match peers::send_heartbeat(node, address, HEARTBEAT_TIMEOUT).await {
             Ok(reply) if reply.epoch > epoch && !reply.leader_address.is_empty() => {
                 node.follow(reply.epoch, &reply.leader_address);
                 return;
--- a/lilacpass-node/src/entry.rs
+++ b/lilacpass-node/src/frontend.rs
@@ -17,25 +17,25 @@
 use crate::{
     clock,
     node::Node,
-    peers::{self, Handed},
+    peers::{self, Forwarded},
 };
 
 /// Taken off the time that a caller waits, so that our answer is there before it leaves.
-const ANSWER_MARGIN: Duration = Duration::from_millis(150);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(150);
 /// How long a request waits for a leader to be found before it is refused, unless this instance knows
 /// that it is cut off. A take-over takes about a second when the former leader has lost power.
-const LEADER_PATIENCE: Duration = Duration::from_millis(1_900);
-/// Pause before a request is handed on again.
+const MAX_LEADER_WAIT: Duration = Duration::from_millis(1_900);
+/// Pause before a request is forwarded on again.
 const RETRY_PAUSE: Duration = Duration::from_millis(40);
-/// A leader that has not answered a greeting for so long is not handed requests: it may take them
+/// A leader that has not answered a greeting for so long is not forwarded requests: it may take them
 /// and its answer be lost, and their callers could then not be told that they have not run. A greeting
 /// and the longest wait for its answer.
-const HANDED_HEARD_MS: u64 = 500;
+const MAX_FORWARD_SILENCE_MS: u64 = 500;
 /// When to come back before the first desired state is known.
-const NO_DESIRED_RETRY_S: u64 = 1;
+const NO_DESIRED_STATE_RETRY_S: u64 = 1;
 /// An instance that has not heard of the leader for so long is not ready. Callers are sent elsewhere
 /// after it was so for a second or two, when a leader that was lost has long been replaced.
-const READY_HEARD_MS: u64 = 400;
+const MAX_READY_SILENCE_MS: u64 = 400;
 
 /// Answers whether this instance takes callers.
 pub async fn ready(node: Rc<Node>, received: Received) -> Reply {
@@ -43,7 +43,7 @@
         return Reply::error(StatusCode::NOT_FOUND, "no such path");
     }
     let is_ready = node.published().is_some() && has_leader(&node) && !node.is_leaving();
-    if node.told_ready.replace(is_ready) != is_ready {
+    if node.reported_ready.replace(is_ready) != is_ready {
         log::info!(
             is_ready, leads = node.leads(), leader_silent_ms = leader_silent_ms(&node),
             leader_store_reachable = node.leader_store_reachable.get(),
@@ -59,9 +59,9 @@
 /// this one is ready.
 fn has_leader(node: &Node) -> bool {
     if node.leads() {
-        node.store_failing_ms() < READY_HEARD_MS
+        node.store_failing_ms() < MAX_READY_SILENCE_MS
     } else {
-        leader_silent_ms(node) < READY_HEARD_MS && node.leader_store_reachable.get()
+        leader_silent_ms(node) < MAX_READY_SILENCE_MS && node.leader_store_reachable.get()
     }
 }
 
@@ -72,7 +72,7 @@
     }
     let arrived = Instant::now();
     let open = OpenRequest::new(&node);
-    let reply = answer(&node, &received).await;
+    let reply = handle(&node, &received).await;
     drop(open);
     node.metrics.request(reply.status, arrived.elapsed());
     // Callers are sent elsewhere by the connection: one that stays open keeps its caller here, where it
@@ -99,9 +99,9 @@
     }
 }
 
-async fn answer(node: &Node, received: &Received) -> Reply {
+async fn handle(node: &Node, received: &Received) -> Reply {
     let Some(published) = node.published() else {
-        let retry_after_s = Some(NO_DESIRED_RETRY_S);
+        let retry_after_s = Some(NO_DESIRED_STATE_RETRY_S);
         let reply = Reply::error(StatusCode::SERVICE_UNAVAILABLE, "no desired state is known yet");
         return Reply { retry_after_s, ..reply };
     };
@@ -120,8 +120,8 @@
         0 => request.deadline_ms,
         timeout_ms => request.deadline_ms.min(timeout_ms),
     };
-    let timeout = Duration::from_millis(timeout_ms).saturating_sub(ANSWER_MARGIN);
-    let answer = ask_leader(node, ask, timeout).await;
+    let timeout = Duration::from_millis(timeout_ms).saturating_sub(RESPONSE_MARGIN);
+    let answer = request_from_leader(node, ask, timeout).await;
     match &answer {
         Answer::Refused { reason, .. } => {
             log::info!(method:% = received.method, path = received.path.as_str(), reason; "request refused");
@@ -136,47 +136,49 @@
 
 /// Asks the leader, and its successor if there is one, until there is an answer or time is up. All
 /// that callers ask is idempotent, so it may be asked twice.
-async fn ask_leader(node: &Node, ask: Ask, timeout: Duration) -> Answer {
+async fn request_from_leader(node: &Node, ask: Ask, timeout: Duration) -> Answer {
     let start = Instant::now();
     let end = start + timeout;
-    let refuse_at = start + LEADER_PATIENCE.min(timeout);
-    let mut may_be_done = false;
+    let refuse_at = start + MAX_LEADER_WAIT.min(timeout);
+    let mut may_have_run = false;
     let mut changes = node.leader.subscribe();
     loop {
         changes.mark_unchanged();
         let now = Instant::now();
-        let is_hopeless = now >= refuse_at || node.cut_off.get();
-        if now >= end || is_hopeless && !may_be_done {
+        let should_refuse = now >= refuse_at || node.cut_off.get();
+        if now >= end || should_refuse && !may_have_run {
             break;
         }
-        let own = node.lead.borrow().clone();
+        let own = node.leader_handle.borrow().clone();
         let address = node.leader.borrow().address.clone();
-        let handed = async {
+        let forwarded = async {
             match (own, address) {
                 (Some(lead), _) => match lead.ask(ask.clone()).await {
-                    Some(answer) => Handed::Answered(answer),
-                    None => Handed::Failed(Verdict::MayHaveRun),
+                    Some(answer) => Forwarded::Answered(answer),
+                    None => Forwarded::Failed(Verdict::MayHaveRun),
                 },
-                (None, Some(address)) if leader_silent_ms(node) < HANDED_HEARD_MS => {
-                    peers::hand_on(node, &address, &ask, end - now).await
+                (None, Some(address)) if leader_silent_ms(node) < MAX_FORWARD_SILENCE_MS => {
+                    peers::forward(node, &address, &ask, end - now).await
                 }
-                (None, _) => Handed::NotLeading,
+                (None, _) => Forwarded::NotLeading,
             }
         };
         // A leader that is replaced will not answer any more.
-        let handed = tokio::select! {
-            handed = handed => handed,
-            _ = changes.changed() => Handed::Failed(Verdict::MayHaveRun),
-            () = time::sleep_until(end) => Handed::Failed(Verdict::MayHaveRun),
+        let forwarded = tokio::select! {
+            forwarded = forwarded => forwarded,
+            _ = changes.changed() => Forwarded::Failed(Verdict::MayHaveRun),
+            () = time::sleep_until(end) => Forwarded::Failed(Verdict::MayHaveRun),
         };
-        match handed {
-            Handed::Answered(answer) => return settle(answer, may_be_done),
-            Handed::NotLeading | Handed::Failed(Verdict::NotRun) => {}
-            Handed::Failed(Verdict::MayHaveRun | Verdict::Ran) => may_be_done = true,
+        match forwarded {
+            Forwarded::Answered(answer) => {
+                return account_for_earlier_attempts(answer, may_have_run);
+            }
+            Forwarded::NotLeading | Forwarded::Failed(Verdict::NotRun) => {}
+            Forwarded::Failed(Verdict::MayHaveRun | Verdict::Ran) => may_have_run = true,
         }
         time::sleep(RETRY_PAUSE.min(end.saturating_duration_since(Instant::now()))).await;
     }
-    if may_be_done {
+    if may_have_run {
         return Answer::Uncertain;
     }
     let retry_after_ms = retry_after_ms(leader_silent_ms(node));
@@ -185,13 +187,13 @@
 
 /// How long the leader has not answered this instance.
 fn leader_silent_ms(node: &Node) -> u64 {
-    clock::now().steady_ms.saturating_sub(node.leader_heard_ms.get())
+    clock::now().steady_ms.saturating_sub(node.last_leader_response_ms.get())
 }
 
 /// A refusal after an earlier try that may have been done proves nothing.
-fn settle(answer: Answer, may_be_done: bool) -> Answer {
+fn account_for_earlier_attempts(answer: Answer, may_have_run: bool) -> Answer {
     match answer {
-        Answer::Refused { .. } if may_be_done => Answer::Uncertain,
+        Answer::Refused { .. } if may_have_run => Answer::Uncertain,
         answer => answer,
     }
 }
--- a/lilacpass-node/src/handover.rs
+++ b/lilacpass-node/src/handover.rs
@@ -9,15 +9,15 @@
 use rand::RngExt;
 use tokio::{sync::mpsc, time};
 
-use crate::{clock, lead_handle::Message, members::Peer, node::Node, peers};
+use crate::{clock, leader_handle::Message, members::Peer, node::Node, peers};
 
 /// How long the store must have refused all calls before the lead is handed over. Single refusals
 /// pass sooner.
-const FAILING_MS: u64 = 350;
+const MIN_STORE_FAILURE_MS: u64 = 350;
 /// Time between looks at that, and so between peers that are asked.
-const INTERVAL: Duration = Duration::from_millis(150);
+const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 /// How long a peer may take over: reading all jobs takes some tenths of a second.
-const TIMEOUT: Duration = Duration::from_millis(1_500);
+const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How long a small leader leads before it looks for a larger instance: by then all have greeted it,
 /// three times.
 const SETTLE_MS: u64 = 600;
@@ -37,18 +37,18 @@
 /// Hands over whenever the store fails or a larger instance could lead, as long as this one leads.
 pub async fn run(node: Rc<Node>, epoch: u64, messages: mpsc::UnboundedSender<Message>) {
     let mut handover = Handover::new(node, epoch, messages);
-    let mut larger_at_ms = clock::now().steady_ms + SETTLE_MS;
+    let mut next_larger_check_ms = clock::now().steady_ms + SETTLE_MS;
     while !handover.messages.is_closed() {
-        time::sleep(INTERVAL).await;
-        if handover.node.store_failing_ms() >= FAILING_MS {
+        time::sleep(CHECK_INTERVAL).await;
+        if handover.node.store_failing_ms() >= MIN_STORE_FAILURE_MS {
             if handover.ask_any().await {
                 return;
             }
             continue;
         }
         let now_ms = clock::now().steady_ms;
-        if now_ms >= larger_at_ms {
-            larger_at_ms = now_ms + LARGER_RETRY_MS;
+        if now_ms >= next_larger_check_ms {
+            next_larger_check_ms = now_ms + LARGER_RETRY_MS;
             if handover.ask_larger(now_ms).await {
                 return;
             }
@@ -61,7 +61,7 @@
 pub async fn resign(node: Rc<Node>, epoch: u64, messages: mpsc::UnboundedSender<Message>) {
     let mut handover = Handover::new(node, epoch, messages);
     while !handover.messages.is_closed() && !handover.ask_any().await {
-        time::sleep(INTERVAL).await;
+        time::sleep(CHECK_INTERVAL).await;
     }
 }
 
@@ -72,52 +72,51 @@
 
     /// Asks a peer to take over, the largest first. Returns whether it did.
     async fn ask_any(&mut self) -> bool {
-        self.ask_one_with(0).await
+        self.ask_peer_with(0).await
     }
 
     /// Asks a peer with so much processor or more.
-    async fn ask_one_with(&mut self, least_cpu_millis: u32) -> bool {
-        let Some(address) = self.pick(least_cpu_millis) else {
+    async fn ask_peer_with(&mut self, min_cpu_millis: u32) -> bool {
+        let Some(address) = self.choose_peer(min_cpu_millis) else {
             self.asked.clear();
             return false;
         };
         self.asked.insert(address.clone());
-        self.ask(&address).await
+        self.request_takeover(&address).await
     }
 
     /// Asks a larger instance to take over, if there is one.
     async fn ask_larger(&mut self, now_ms: u64) -> bool {
         let own_cpu_millis = self.node.settings.cpu_millis;
-        if self.node.is_leaving() || self.node.most_cpu_of_present_millis(now_ms) <= own_cpu_millis
-        {
+        if self.node.is_leaving() || self.node.max_present_cpu_millis(now_ms) <= own_cpu_millis {
             return false;
         }
         log::info!(own_cpu_millis; "a larger instance is to lead");
-        self.ask_one_with(own_cpu_millis + 1).await
+        self.ask_peer_with(own_cpu_millis + 1).await
     }
 
     /// A peer that lives and stays: one that reaches the store before others, a large one before
     /// small ones, any of those that are alike.
-    fn pick(&self, least_cpu_millis: u32) -> Option<String> {
+    fn choose_peer(&self, min_cpu_millis: u32) -> Option<String> {
         let now_ms = clock::now().steady_ms;
         let members = self.node.members.borrow();
         let rank = |peer: &Peer| Reverse((peer.store_reachable, peer.cpu_millis));
         members
             .present(now_ms)
-            .filter(|(_, peer)| peer.cpu_millis >= least_cpu_millis)
+            .filter(|(_, peer)| peer.cpu_millis >= min_cpu_millis)
             .filter(|(address, _)| !self.asked.contains(*address))
             .min_by_key(|(_, peer)| (rank(peer), rand::rng().random::<u32>()))
             .map(|(address, _)| address.to_owned())
     }
 
     /// Asks a peer to take over. Returns whether it did.
-    async fn ask(&self, address: &str) -> bool {
-        match peers::promote(&self.node, address, TIMEOUT).await {
+    async fn request_takeover(&self, address: &str) -> bool {
+        match peers::request_takeover(&self.node, address, TAKEOVER_TIMEOUT).await {
             Ok(reply) if reply.leads && reply.epoch > self.epoch => {
                 log::info!(peer = address, epoch = reply.epoch; "lead handed over");
                 self.node.follow(reply.epoch, address);
                 // The loop has ended where nobody listens.
-                let _ended = self.messages.send(Message::Deposed);
+                let _stopped = self.messages.send(Message::Deposed);
                 true
             }
             Ok(_) => {
--- a/lilacpass-node/src/lead_handle.rs
+++ b/lilacpass-node/src/leader_handle.rs
@@ -40,12 +40,12 @@
 
 /// The way to the leader within its own instance.
 #[derive(Clone)]
-pub struct LeadHandle {
+pub struct LeaderHandle {
     messages: mpsc::UnboundedSender<Message>,
     ended: watch::Receiver<bool>,
 }
 
-impl LeadHandle {
+impl LeaderHandle {
     /// A way to a leader that takes `messages`, and that sets `ended` when it leads no more.
     pub fn new(messages: mpsc::UnboundedSender<Message>, ended: watch::Receiver<bool>) -> Self {
         Self { messages, ended }
@@ -68,13 +68,13 @@
     /// Has the leader hand over.
     pub fn resign(&self) {
         // A leader that has ended needs no telling.
-        let _ended = self.messages.send(Message::Resign);
+        let _stopped = self.messages.send(Message::Resign);
     }
 }
 
 /// Waits until this instance does not lead any more.
-pub async fn ended(node: &Node) {
-    let Some(mut lead) = node.lead.borrow().clone() else { return };
+pub async fn wait_until_ended(node: &Node) {
+    let Some(mut lead) = node.leader_handle.borrow().clone() else { return };
     // The sender is dropped when the loop ends, which is what is waited for.
     let _dropped = lead.ended.wait_for(|ended| *ended).await;
 }
--- a/lilacpass-node/src/leading.rs
+++ b/lilacpass-node/src/leader_loop.rs
@@ -17,16 +17,16 @@
 };
 
 use crate::{
-    append::{self, Failure},
+    append::{self, AppendError},
     clock, handover,
-    intake::Intake,
-    lead_handle::{Inspect, LeadHandle, Message},
+    leader_handle::{Inspect, LeaderHandle, Message},
+    message_queue::MessageQueue,
     metrics,
     node::{LeaderView, Node},
     orders, peers, registry_watch,
-    relay_choice::{Candidate, Means},
+    relay_selection::{Candidate, LeaderCapacity},
     relays::Relays,
-    takeover::{self, Won},
+    takeover::{self, NewLeadership},
 };
 
 /// Time between ticks of the leader, which bound how late it notices that a time has passed.
@@ -40,33 +40,33 @@
 const ADVICE_SLACK: Duration = Duration::from_millis(900);
 
 /// Begins to lead.
-pub fn start(node: &Rc<Node>, won: Won) {
+pub fn start(node: &Rc<Node>, leadership: NewLeadership) {
     let (messages, inbox) = mpsc::unbounded_channel();
     let (end, ended) = watch::channel(false);
     let options = options(node);
     let now = clock::now();
-    let leader = Leader::new(options, won.jobs, now);
-    *node.lead.borrow_mut() = Some(LeadHandle::new(messages.clone(), ended));
+    let leader = Leader::new(options, leadership.jobs, now);
+    *node.leader_handle.borrow_mut() = Some(LeaderHandle::new(messages.clone(), ended));
     let address = node.peer_address();
-    node.leader.send_replace(LeaderView { epoch: won.epoch, address: Some(address) });
-    *node.relays.borrow_mut() = Relays::new(won.epoch, now.steady_ms);
+    node.leader.send_replace(LeaderView { epoch: leadership.epoch, address: Some(address) });
+    *node.relays.borrow_mut() = Relays::new(leadership.epoch, now.steady_ms);
     node.metrics.took_over();
     task::spawn_local(registry_watch::run(node.clone(), messages.clone()));
-    task::spawn_local(handover::run(node.clone(), won.epoch, messages.clone()));
-    task::spawn_local(renew(node.clone(), won.epoch, won.sequence, messages.clone()));
-    let driver = Driver {
+    task::spawn_local(handover::run(node.clone(), leadership.epoch, messages.clone()));
+    task::spawn_local(renew(node.clone(), leadership.epoch, leadership.sequence, messages.clone()));
+    let leader_loop = LeaderLoop {
         node: node.clone(),
-        epoch: won.epoch,
+        epoch: leadership.epoch,
         leader,
         messages,
-        intake: Intake::default(),
-        callers: HashMap::new(),
-        next_token: 0,
-        next_sequence: won.sequence + 1,
-        lanes_at_ms: 0,
-        deposed: false,
+        queue: MessageQueue::default(),
+        responders: HashMap::new(),
+        next_request_id: 0,
+        next_sequence: leadership.sequence + 1,
+        next_lanes_update_ms: 0,
+        is_deposed: false,
     };
-    task::spawn_local(driver.run(inbox, end));
+    task::spawn_local(leader_loop.run(inbox, end));
 }
 
 fn options(node: &Node) -> Options {
@@ -96,8 +96,8 @@
         let writer = Writer { epoch, sequence: first_sequence + renewal };
         let message = match append::store(&node, &partition, writer, &records).await {
             Ok(()) => Message::Event(Event::Confirmed { sent_ms }),
-            Err(Failure::Deposed) => Message::Deposed,
-            Err(Failure::NotDone) => {
+            Err(AppendError::Deposed) => Message::Deposed,
+            Err(AppendError::NotStored) => {
                 time::sleep(RENEWAL_INTERVAL).await;
                 continue;
             }
@@ -110,69 +110,69 @@
     }
 }
 
-struct Driver {
+struct LeaderLoop {
     node: Rc<Node>,
     epoch: u64,
     leader: Leader,
     messages: mpsc::UnboundedSender<Message>,
-    intake: Intake<Message>,
-    callers: HashMap<Token, oneshot::Sender<Answer>>,
-    next_token: u64,
+    queue: MessageQueue<Message>,
+    responders: HashMap<Token, oneshot::Sender<Answer>>,
+    next_request_id: u64,
     next_sequence: u64,
-    lanes_at_ms: u64,
-    deposed: bool,
+    next_lanes_update_ms: u64,
+    is_deposed: bool,
 }
 
-impl Driver {
+impl LeaderLoop {
     async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<Message>, end: watch::Sender<bool>) {
         let mut ticks = time::interval(TICK);
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
-        while !self.deposed {
-            let has_more = !self.intake.is_empty() || self.leader.has_more();
+        while !self.is_deposed {
+            let has_more = !self.queue.is_empty() || self.leader.has_more();
             tokio::select! {
                 // A tick that is due comes first: it shows how late the leader is, and lets leases lapse.
                 biased;
                 _ = ticks.tick() => self.tick(),
                 message = inbox.recv() => {
                     let Some(message) = message else { break };
-                    self.put(message);
+                    self.enqueue(message);
                 }
                 // Calls, answers and renewals of the lead go on between two rounds.
                 () = task::yield_now(), if has_more => {}
             }
             while let Ok(message) = inbox.try_recv() {
-                self.put(message);
+                self.enqueue(message);
             }
-            for message in self.intake.next_round() {
-                self.take_in(message);
+            for message in self.queue.next_round() {
+                self.handle(message);
             }
-            self.carry_out();
+            self.execute_effects();
         }
-        self.node.lead.borrow_mut().take();
+        self.node.leader_handle.borrow_mut().take();
         *self.node.relays.borrow_mut() = Relays::default();
-        self.node.metrics.leads_no_more();
+        self.node.metrics.leadership_lost();
         log::info!(epoch = self.epoch; "leads no more");
         end.send_replace(true);
     }
 
-    fn put(&mut self, message: Message) {
+    fn enqueue(&mut self, message: Message) {
         match message {
-            Message::Ask(..) | Message::Inspect(..) => self.intake.put_ask(message),
+            Message::Ask(..) | Message::Inspect(..) => self.queue.push_request(message),
             Message::Event(_)
             | Message::NotAppended { .. }
             | Message::Deposed
-            | Message::Resign => self.intake.put_event(message),
+            | Message::Resign => self.queue.push_event(message),
         }
     }
 
-    fn take_in(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         let now = clock::now();
         match message {
             Message::Event(event) => self.leader.handle(event, now),
             Message::Ask(ask, caller) => {
-                let token = Token(self.next_token);
-                self.next_token += 1;
-                self.callers.insert(token, caller);
+                let token = Token(self.next_request_id);
+                self.next_request_id += 1;
+                self.responders.insert(token, caller);
                 self.leader.handle(Event::Asked { token, ask }, now);
             }
             Message::NotAppended { next_sequence } => {
@@ -181,9 +181,9 @@
             }
             Message::Inspect(inspect, operator) => {
                 // An operator that has left needs no answer.
-                let _left = operator.send(self.inspect(inspect));
+                let _disconnected = operator.send(self.inspect(inspect));
             }
-            Message::Deposed => self.deposed = true,
+            Message::Deposed => self.is_deposed = true,
             Message::Resign => {
                 let node = self.node.clone();
                 let messages = self.messages.clone();
@@ -213,9 +213,9 @@
 
     fn tick(&mut self) {
         let now = clock::now();
-        if now.steady_ms >= self.lanes_at_ms {
-            self.lanes_at_ms = now.steady_ms + LANES_INTERVAL_MS;
-            self.node.members.borrow_mut().forget_gone(now.steady_ms);
+        if now.steady_ms >= self.next_lanes_update_ms {
+            self.next_lanes_update_ms = now.steady_ms + LANES_INTERVAL_MS;
+            self.node.members.borrow_mut().remove_expired(now.steady_ms);
             let lanes = self.lanes(now.steady_ms);
             self.leader.handle(Event::Lanes(lanes), now);
             self.review_relays(now.steady_ms);
@@ -225,52 +225,52 @@
         let behind = Duration::from_millis(pressure.behind_ms());
         self.node.metrics.pressure(pressure.level(), behind);
         let tally = self.leader.take_tally();
-        self.node.metrics.happened(&tally);
+        self.node.metrics.record_counters(&tally);
     }
 
     fn review_relays(&self, now_ms: u64) {
         let settings = &self.node.settings;
-        let means = Means { cpu_millis: settings.cpu_millis, link: settings.link.0 };
+        let capacity = LeaderCapacity { cpu_millis: settings.cpu_millis, link: settings.link.0 };
         let members = self.node.members.borrow();
         let candidates = members.present(now_ms).map(|(address, peer)| Candidate {
             address,
             data_centre: &peer.data_centre,
             cpu_millis: peer.cpu_millis,
         });
-        self.node.relays.borrow_mut().review(means, candidates.collect(), now_ms);
+        self.node.relays.borrow_mut().review(capacity, candidates.collect(), now_ms);
     }
 
     /// By which relay an order to a worker goes. Workers that have just not answered are called from here: it may be
     /// the relay that does not reach them.
-    fn relay_for(&self, worker: &WorkerName, payload_bytes: usize) -> orders::Via {
+    fn relay_for(&self, worker: &WorkerName, payload_bytes: usize) -> orders::Route {
         let mut relays = self.node.relays.borrow_mut();
-        relays.count(payload_bytes);
+        relays.count_order(payload_bytes);
         if relays.is_empty() {
             return None;
         }
         let data_centre = self.leader.answering_worker(worker)?;
-        relays.home(worker, data_centre)
+        relays.relay_for(worker, data_centre)
     }
 
     /// Instances that can call for advice: this one, and those that greet it.
     fn lanes(&self, now_ms: u64) -> Vec<Lane> {
         let members = self.node.members.borrow();
-        let near = members.present(now_ms).map(|(address, _)| Lane(address.to_owned()));
-        near.chain([Lane(self.node.peer_address())]).collect()
+        let peers = members.present(now_ms).map(|(address, _)| Lane(address.to_owned()));
+        peers.chain([Lane(self.node.peer_address())]).collect()
     }
 
-    fn carry_out(&mut self) {
+    fn execute_effects(&mut self) {
         for effect in self.leader.finish(clock::now()) {
-            self.carry_out_one(effect);
+            self.execute_effect(effect);
         }
     }
 
-    fn carry_out_one(&mut self, effect: Effect) {
+    fn execute_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Reply { token, answer } => {
-                if let Some(caller) = self.callers.remove(&token) {
+                if let Some(caller) = self.responders.remove(&token) {
                     // A caller that has left needs no answer.
-                    let _left = caller.send(answer);
+                    let _disconnected = caller.send(answer);
                 }
             }
             Effect::Append(records) => self.append(records),
@@ -284,14 +284,14 @@
                 extra,
             } => {
                 let look = Look { lease_until_ms, forget_upto, wait_ms, answer_ms };
-                let via = if extra { None } else { self.relay_for(&worker, 0) };
+                let route = if extra { None } else { self.relay_for(&worker, 0) };
                 let node = self.node.clone();
                 let epoch = self.epoch;
                 self.spawn(async move {
                     let sent_ms = clock::now().steady_ms;
                     let target = Target { name: &worker, address: &address, epoch };
                     let sent = time::Instant::now();
-                    let result = orders::look(&node, via, target, look).await;
+                    let result = orders::poll(&node, route, target, look).await;
                     node.metrics.order("look", metrics::outcome(&result), sent.elapsed());
                     Event::Looked { worker, sent_ms, extra, result }
                 });
@@ -306,7 +306,7 @@
                 checkpoint,
                 ticket,
             } => {
-                let via = self.relay_for(&worker, payload.len());
+                let route = self.relay_for(&worker, payload.len());
                 let node = self.node.clone();
                 let epoch = self.epoch;
                 self.spawn(async move {
@@ -320,19 +320,19 @@
                         ticket: ticket.as_deref(),
                     };
                     let sent = time::Instant::now();
-                    let result = orders::start(&node, via, target, start).await;
+                    let result = orders::start(&node, route, target, start).await;
                     node.metrics.order("start", metrics::outcome(&result), sent.elapsed());
                     Event::Started { worker, task, run, result }
                 });
             }
             Effect::Stop { worker, address, task, run } => {
-                let via = self.relay_for(&worker, 0);
+                let route = self.relay_for(&worker, 0);
                 let node = self.node.clone();
                 let epoch = self.epoch;
                 self.spawn(async move {
                     let target = Target { name: &worker, address: &address, epoch };
                     let sent = time::Instant::now();
-                    let result = orders::stop(&node, via, target, task, run).await;
+                    let result = orders::stop(&node, route, target, task, run).await;
                     node.metrics.order("stop", metrics::outcome(&result), sent.elapsed());
                     Event::Stopped { worker, task, run, result }
                 });
@@ -344,14 +344,14 @@
                     let advice = if lane.0 == node.peer_address() {
                         peers::advise(&node, step, &workers, timeout).await
                     } else {
-                        peers::advise_by(&node, &lane.0, step, &workers, timeout).await
+                        peers::advise_through_peer(&node, &lane.0, step, &workers, timeout).await
                     };
                     Event::Advised { lane, step, asked: workers, advice }
                 });
             }
             Effect::Deposed => {
                 log::info!(epoch = self.epoch; "a worker has heard of a later leader");
-                self.deposed = true;
+                self.is_deposed = true;
             }
         }
     }
@@ -369,20 +369,20 @@
             for (sequence, call) in (first_sequence..).zip(&calls) {
                 let writer = Writer { epoch, sequence };
                 let is_first = sequence == first_sequence;
-                match append::store_rest(&node, &partition, writer, call, is_first).await {
+                match append::store_batch_call(&node, &partition, writer, call, is_first).await {
                     Ok(()) => {}
-                    Err(Failure::Deposed) => {
+                    Err(AppendError::Deposed) => {
                         message = Message::Deposed;
                         break;
                     }
-                    Err(Failure::NotDone) => {
+                    Err(AppendError::NotStored) => {
                         message = Message::NotAppended { next_sequence: sequence };
                         break;
                     }
                 }
             }
             // The loop has ended where nobody listens.
-            let _ended = messages.send(message);
+            let _stopped = messages.send(message);
         });
     }
 
@@ -391,7 +391,7 @@
         task::spawn_local(async move {
             let event = work.await;
             // The loop has ended where nobody listens.
-            let _ended = messages.send(Message::Event(event));
+            let _stopped = messages.send(Message::Event(event));
         });
     }
 }
--- a/lilacpass-node/src/logging.rs
+++ b/lilacpass-node/src/logging.rs
@@ -18,9 +18,9 @@
 
 /// Lines that may wait to be written. At 300 bytes each about 1 MB.
 const BUFFERED_LINES: usize = 4_096;
-/// How long lines are gathered before they are written. Written one by one, each would wake the thread and be a call to
+/// How long lines are batch before they are written. Written one by one, each would wake the thread and be a call to
 /// the kernel of its own, and a busy leader writes thousands in a second.
-const GATHER: Duration = Duration::from_millis(20);
+const BATCH_INTERVAL: Duration = Duration::from_millis(20);
 /// How long the end of the process waits for the last lines.
 const FLUSH_WAIT: Duration = Duration::from_millis(200);
 
@@ -32,9 +32,9 @@
     Flush(SyncSender<()>),
 }
 
-struct Buffer;
+struct QueueWriter;
 
-impl Write for Buffer {
+impl Write for QueueWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let Some(queue) = QUEUE.get() else { return Ok(bytes.len()) };
         if let Err(TrySendError::Full(_)) = queue.try_send(Line::Text(bytes.to_vec())) {
@@ -56,7 +56,7 @@
     }
     thread::spawn(move || write_lines(&receiver));
     Builder::from_env(Env::default().default_filter_or("info"))
-        .target(Target::Pipe(Box::new(Buffer)))
+        .target(Target::Pipe(Box::new(QueueWriter)))
         .format_target(false)
         .format_timestamp_millis()
         .init();
@@ -73,34 +73,34 @@
     let (sender, receiver) = mpsc::sync_channel(1);
     if queue.try_send(Line::Flush(sender)).is_ok() {
         // A reader that does not read must not keep the process alive.
-        let _late = receiver.recv_timeout(FLUSH_WAIT);
+        let _timeout = receiver.recv_timeout(FLUSH_WAIT);
     }
 }
 
 fn write_lines(receiver: &mpsc::Receiver<Line>) {
-    let mut gathered = Gathered::default();
+    let mut batch = Batch::default();
     while let Ok(line) = receiver.recv() {
         let is_text = matches!(line, Line::Text(_));
-        gathered.take(line);
+        batch.push(line);
         if is_text {
-            thread::sleep(GATHER);
+            thread::sleep(BATCH_INTERVAL);
         }
         while let Ok(line) = receiver.try_recv() {
-            gathered.take(line);
+            batch.push(line);
         }
-        gathered.write();
+        batch.write();
     }
 }
 
 /// Lines that are written together.
 #[derive(Default)]
-struct Gathered {
+struct Batch {
     text: Vec<u8>,
     lines: u64,
 }
 
-impl Gathered {
-    fn take(&mut self, line: Line) {
+impl Batch {
+    fn push(&mut self, line: Line) {
         match line {
             Line::Text(text) => {
                 self.text.extend_from_slice(&text);
@@ -109,7 +109,7 @@
             Line::Flush(done) => {
                 self.write();
                 // Who does not wait any more needs no telling.
-                let _gone = done.send(());
+                let _dropped = done.send(());
             }
         }
     }
--- a/lilacpass-node/src/members.rs
+++ b/lilacpass-node/src/members.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug)]
 pub struct Peer {
     /// When it was last heard of, on the steady clock.
-    pub heard_ms: u64,
+    pub last_heartbeat_ms: u64,
     /// It is about to stop.
     pub leaving: bool,
     /// It reaches the store.
@@ -21,14 +21,14 @@
 
 impl Peer {
     /// A peer that has not greeted for so long is not counted on.
-    const HEARD_MS: u64 = 900;
+    const PRESENCE_TIMEOUT_MS: u64 = 900;
     /// One that has not greeted for so long is forgotten. Instances are replaced at new addresses all
     /// the time.
-    const FORGOTTEN_MS: u64 = 30_000;
+    const REMOVE_AFTER_MS: u64 = 30_000;
 
     /// Whether it lives and stays.
     pub fn is_present(&self, now_ms: u64) -> bool {
-        !self.leaving && self.heard_ms + Self::HEARD_MS > now_ms
+        !self.leaving && self.last_heartbeat_ms + Self::PRESENCE_TIMEOUT_MS > now_ms
     }
 }
 
@@ -42,14 +42,14 @@
 impl Default for Members {
     /// Nobody. The first revision is drawn at random, so that two instances do not give one number to two lists.
     fn default() -> Self {
-        const MOST: u64 = 1 << 62;
-        Self { peers: BTreeMap::new(), revision: rand::rng().random_range(1..MOST) }
+        const MAX: u64 = 1 << 62;
+        Self { peers: BTreeMap::new(), revision: rand::rng().random_range(1..MAX) }
     }
 }
 
 impl Members {
     /// Notes a greeting.
-    pub fn greeted(&mut self, address: &str, peer: Peer) {
+    pub fn record_heartbeat(&mut self, address: &str, peer: Peer) {
         if let Some(known) = self.peers.get_mut(address) {
             *known = peer;
             return;
@@ -59,9 +59,9 @@
     }
 
     /// Forgets those that have long been silent.
-    pub fn forget_gone(&mut self, now_ms: u64) {
+    pub fn remove_expired(&mut self, now_ms: u64) {
         let known = self.peers.len();
-        self.peers.retain(|_, peer| peer.heard_ms + Peer::FORGOTTEN_MS > now_ms);
+        self.peers.retain(|_, peer| peer.last_heartbeat_ms + Peer::REMOVE_AFTER_MS > now_ms);
         if self.peers.len() != known {
             self.revision += 1;
         }
@@ -96,7 +96,7 @@
 impl KnownMembers {
     /// Takes in what the leader told. It leaves the addresses out where this instance has them already:
     /// 360 of them are 8 KB, and five answers a second to each of 360 instances would be 14 MB a second.
-    pub fn told(&mut self, revision: u64, addresses: Vec<String>) {
+    pub fn update(&mut self, revision: u64, addresses: Vec<String>) {
         let is_known = revision != 0 && revision == self.revision;
         if !is_known {
             *self = Self { addresses, revision };
--- a/lilacpass-node/src/intake.rs
+++ b/lilacpass-node/src/message_queue.rs
@@ -6,41 +6,41 @@
 use std::collections::VecDeque;
 
 /// Requests of callers that are taken in before a round of deciding: bounds what a rush of callers adds to a round.
-pub const MOST_ASKS: usize = 256;
+pub const MAX_REQUESTS_PER_ROUND: usize = 256;
 
 /// What has come and was not taken in yet.
 #[derive(Debug)]
-pub struct Intake<M> {
+pub struct MessageQueue<M> {
     events: VecDeque<M>,
-    asks: VecDeque<M>,
+    requests: VecDeque<M>,
 }
 
-impl<M> Default for Intake<M> {
+impl<M> Default for MessageQueue<M> {
     fn default() -> Self {
-        Self { events: VecDeque::new(), asks: VecDeque::new() }
+        Self { events: VecDeque::new(), requests: VecDeque::new() }
     }
 }
 
-impl<M> Intake<M> {
+impl<M> MessageQueue<M> {
     /// Adds what happened.
-    pub fn put_event(&mut self, message: M) {
+    pub fn push_event(&mut self, message: M) {
         self.events.push_back(message);
     }
 
     /// Adds a request. Requests stay in the order in which they came: a cancel that overtook the hand-in of its job
     /// would be told that there is none, and the job would run.
-    pub fn put_ask(&mut self, message: M) {
-        self.asks.push_back(message);
+    pub fn push_request(&mut self, message: M) {
+        self.requests.push_back(message);
     }
 
     /// What the next round takes in: all that happened, then the oldest requests.
     pub fn next_round(&mut self) -> Vec<M> {
-        let asks = self.asks.len().min(MOST_ASKS);
-        self.events.drain(..).chain(self.asks.drain(..asks)).collect()
+        let requests = self.requests.len().min(MAX_REQUESTS_PER_ROUND);
+        self.events.drain(..).chain(self.requests.drain(..requests)).collect()
     }
 
     /// Whether nothing is left to take in.
     pub fn is_empty(&self) -> bool {
-        self.events.is_empty() && self.asks.is_empty()
+        self.events.is_empty() && self.requests.is_empty()
     }
 }
--- a/lilacpass-node/src/metrics.rs
+++ b/lilacpass-node/src/metrics.rs
@@ -39,7 +39,7 @@
     append_seconds: Histogram<f64>,
     appends: Counter<u64>,
     advice: Counter<u64>,
-    greetings: Counter<u64>,
+    heartbeats: Counter<u64>,
     desired_reads: Counter<u64>,
     desired_version: Gauge<u64>,
     workers_reads: Counter<u64>,
@@ -85,7 +85,7 @@
             append_seconds: seconds("lilacpass_append_seconds"),
             appends: meter.u64_counter("lilacpass_appends").build(),
             advice: meter.u64_counter("lilacpass_advice_calls").build(),
-            greetings: meter.u64_counter("lilacpass_greetings").build(),
+            heartbeats: meter.u64_counter("lilacpass_greetings").build(),
             desired_reads: meter.u64_counter("lilacpass_desired_reads").build(),
             desired_version: meter.u64_gauge("lilacpass_desired_version").build(),
             workers_reads: meter.u64_counter("lilacpass_workers_reads").build(),
@@ -127,8 +127,8 @@
     }
 
     /// A greeting to the leader has ended.
-    pub fn greeting(&self, outcome: &'static str) {
-        self.greetings.add(1, &[KeyValue::new("outcome", outcome)]);
+    pub fn heartbeat(&self, outcome: &'static str) {
+        self.heartbeats.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
     /// A read of the desired state has ended. `source` is the store or another instance.
@@ -166,7 +166,7 @@
     }
 
     /// What has happened in the cell since this was last told.
-    pub fn happened(&self, tally: &Tally) {
+    pub fn record_counters(&self, tally: &Tally) {
         for loss in Loss::ALL {
             let how = KeyValue::new("how", loss.as_str());
             self.workers_lost.add(tally.workers_lost(loss), &[how]);
@@ -178,7 +178,7 @@
     }
 
     /// This instance leads no more.
-    pub fn leads_no_more(&self) {
+    pub fn leadership_lost(&self) {
         self.leads.record(0, &[]);
         self.pressure(Level::KeepsUp, Duration::ZERO);
     }
--- a/lilacpass-node/src/node.rs
+++ b/lilacpass-node/src/node.rs
@@ -22,13 +22,13 @@
 use crate::{
     budget::RetryBudget,
     clock,
-    desired_relay::{Elsewhere, Pacing},
-    entry,
-    lead_handle::LeadHandle,
+    desired_relay::{DesiredSource, Pacing},
+    frontend,
+    leader_handle::LeaderHandle,
     members::{KnownMembers, Members},
     metrics::{self, Metrics},
-    order_relay::Outcomes,
     peers,
+    relay_server::PendingOutcomes,
     relays::Relays,
 };
 
@@ -65,32 +65,32 @@
     /// The newest desired state that is known.
     pub desired: RefCell<Option<Rc<Published>>>,
     /// The newest version that another instance was heard to have.
-    pub desired_elsewhere: RefCell<Option<Elsewhere>>,
+    pub desired_source: RefCell<Option<DesiredSource>>,
     /// Up to this version, what another instance has was fetched and can't be read here.
-    pub desired_unreadable: Cell<u64>,
+    pub unreadable_desired_version: Cell<u64>,
     /// Spaces out what goes to peers that ask for the desired state.
-    pub relay_pacing: Pacing,
+    pub desired_pacing: Pacing,
     /// Who leads.
     pub leader: watch::Sender<LeaderView>,
     /// Our own leadership.
-    pub lead: RefCell<Option<LeadHandle>>,
+    pub leader_handle: RefCell<Option<LeaderHandle>>,
     /// When the leader last answered, on the steady clock.
-    pub leader_heard_ms: Cell<u64>,
+    pub last_leader_response_ms: Cell<u64>,
     /// The last greeting to the leader was not answered.
-    pub leader_is_silent: Cell<bool>,
+    pub leader_unresponsive: Cell<bool>,
     /// Neither the leader nor the store answers this instance: nobody can take over that it would hear
     /// of soon.
     pub cut_off: Cell<bool>,
     /// What the platform was last told when it asked whether this instance takes callers.
-    pub told_ready: Cell<bool>,
+    pub reported_ready: Cell<bool>,
     /// The leader said that the store answers it.
     pub leader_store_reachable: Cell<bool>,
     /// When the store last answered, on the steady clock.
-    pub store_heard_ms: Cell<u64>,
+    pub last_store_response_ms: Cell<u64>,
     /// Since when the store has refused calls without an answer between, on the steady clock.
     pub store_failing_since_ms: Cell<Option<u64>>,
     /// How long the store takes for an append, as learned.
-    pub append_time: Cell<Duration>,
+    pub append_latency: Cell<Duration>,
     /// A take-over by this instance is under way.
     pub taking_over: Cell<bool>,
     /// The process is to stop.
@@ -99,13 +99,13 @@
     pub members: RefCell<Members>,
     /// The most processor of any instance that could lead, as the leader said, in thousandths of a
     /// core; 0 before it said so.
-    pub most_cpu_millis: Cell<u32>,
+    pub max_cpu_millis: Cell<u32>,
     /// The instances that the leader has told of.
     pub known_members: RefCell<KnownMembers>,
     /// The instances that relay our orders, while this one leads.
     pub relays: RefCell<Relays>,
     /// What came of the leader's orders that this instance relays.
-    pub outcomes: RefCell<Outcomes>,
+    pub pending_outcomes: RefCell<PendingOutcomes>,
     /// Requests of callers that are being served, and orders that are relayed.
     pub open_requests: Cell<u64>,
     /// Counters.
@@ -114,7 +114,7 @@
 
 /// The store counts as reachable for so long after its last answer. The watch for the desired state
 /// gets an answer at least every two seconds, renewals several a second.
-const STORE_HEARD_MS: u64 = 900;
+const STORE_REACHABLE_MS: u64 = 900;
 
 impl Node {
     /// An instance that knows its settings only.
@@ -128,26 +128,26 @@
             client,
             settings,
             desired: RefCell::new(None),
-            desired_elsewhere: RefCell::new(None),
-            desired_unreadable: Cell::new(0),
-            relay_pacing: Pacing::default(),
+            desired_source: RefCell::new(None),
+            unreadable_desired_version: Cell::new(0),
+            desired_pacing: Pacing::default(),
             leader: watch::Sender::new(LeaderView::default()),
-            lead: RefCell::new(None),
-            leader_heard_ms: Cell::new(0),
-            leader_is_silent: Cell::new(false),
+            leader_handle: RefCell::new(None),
+            last_leader_response_ms: Cell::new(0),
+            leader_unresponsive: Cell::new(false),
             cut_off: Cell::new(false),
-            told_ready: Cell::new(false),
+            reported_ready: Cell::new(false),
             leader_store_reachable: Cell::new(true),
-            store_heard_ms: Cell::new(0),
+            last_store_response_ms: Cell::new(0),
             store_failing_since_ms: Cell::new(None),
-            append_time: Cell::new(Duration::ZERO),
+            append_latency: Cell::new(Duration::ZERO),
             taking_over: Cell::new(false),
             leaving: watch::Sender::new(false),
             members: RefCell::default(),
-            most_cpu_millis: Cell::new(0),
+            max_cpu_millis: Cell::new(0),
             known_members: RefCell::default(),
             relays: RefCell::default(),
-            outcomes: RefCell::default(),
+            pending_outcomes: RefCell::default(),
             open_requests: Cell::new(0),
             metrics: Metrics::default(),
         }
@@ -166,10 +166,10 @@
         let node = self.clone();
         let limits = move || node.limits();
         let node = self.clone();
-        let handler = move |received| entry::serve(node.clone(), received);
+        let handler = move |received| frontend::serve(node.clone(), received);
         tokio::task::spawn_local(server::serve(callers, limits, handler));
         let node = self.clone();
-        let handler = move |received| entry::ready(node.clone(), received);
+        let handler = move |received| frontend::ready(node.clone(), received);
         tokio::task::spawn_local(server::serve(ready, Limits::default, handler));
         let node = self.clone();
         let handler = move |received| peers::serve(node.clone(), received);
@@ -196,7 +196,7 @@
 
     /// The most processor of any instance that could lead: this one, and those that greet it and
     /// reach the store. In thousandths of a core.
-    pub fn most_cpu_of_present_millis(&self, now_ms: u64) -> u32 {
+    pub fn max_present_cpu_millis(&self, now_ms: u64) -> u32 {
         let members = self.members.borrow();
         let able = members.present(now_ms).filter(|(_, peer)| peer.store_reachable);
         able.map(|(_, peer)| peer.cpu_millis).fold(self.settings.cpu_millis, u32::max)
@@ -231,26 +231,26 @@
 
     /// Notes which version another instance has. One that is not newer is never asked for, and greetings bring it several
     /// times a second from each instance.
-    pub fn note_desired_elsewhere(&self, version: u64, address: &str) {
+    pub fn record_desired_source(&self, version: u64, address: &str) {
         if version <= self.desired_version() {
             return;
         }
-        let mut elsewhere = self.desired_elsewhere.borrow_mut();
+        let mut source = self.desired_source.borrow_mut();
         // The last that was heard to have it is the likeliest to live.
-        if elsewhere.as_ref().is_none_or(|known| known.version <= version) {
-            *elsewhere = Some(Elsewhere { version, address: address.to_owned() });
+        if source.as_ref().is_none_or(|known| known.version <= version) {
+            *source = Some(DesiredSource { version, address: address.to_owned() });
         }
     }
 
     /// A version that is newer than the one here, and may be readable.
-    pub fn newer_elsewhere(&self) -> Option<Elsewhere> {
-        let tried_version = self.desired_version().max(self.desired_unreadable.get());
-        self.desired_elsewhere.borrow().clone().filter(|known| known.version > tried_version)
+    pub fn newer_desired_source(&self) -> Option<DesiredSource> {
+        let tried_version = self.desired_version().max(self.unreadable_desired_version.get());
+        self.desired_source.borrow().clone().filter(|known| known.version > tried_version)
     }
 
     /// Whether this instance leads.
     pub fn leads(&self) -> bool {
-        self.lead.borrow().is_some()
+        self.leader_handle.borrow().is_some()
     }
 
     /// Takes in who leads, unless a later leader is known.
@@ -261,22 +261,22 @@
             return;
         }
         log::info!(epoch, leader = address; "leader known");
-        self.leader_heard_ms.set(clock::now().steady_ms);
+        self.last_leader_response_ms.set(clock::now().steady_ms);
         self.leader.send_replace(LeaderView { epoch, address: Some(address.to_owned()) });
     }
 
     /// Notes that the store has answered.
-    pub fn store_heard(&self) {
+    pub fn record_store_response(&self) {
         self.cut_off.set(false);
         let now_ms = clock::now().steady_ms;
-        self.store_heard_ms.set(now_ms);
+        self.last_store_response_ms.set(now_ms);
         if let Some(since_ms) = self.store_failing_since_ms.take() {
             log::info!(failed_ms = now_ms.saturating_sub(since_ms); "store answers again");
         }
     }
 
     /// Notes that the store has refused a call.
-    pub fn store_refused(&self) {
+    pub fn record_store_refusal(&self) {
         if self.store_failing_since_ms.get().is_none() {
             log::info!("store refuses calls");
             self.store_failing_since_ms.set(Some(clock::now().steady_ms));
@@ -289,14 +289,14 @@
         if let Some(since_ms) = self.store_failing_since_ms.get() {
             return now_ms.saturating_sub(since_ms);
         }
-        let silent_ms = now_ms.saturating_sub(self.store_heard_ms.get());
-        if silent_ms > STORE_HEARD_MS { silent_ms } else { 0 }
+        let silent_ms = now_ms.saturating_sub(self.last_store_response_ms.get());
+        if silent_ms > STORE_REACHABLE_MS { silent_ms } else { 0 }
     }
 
     /// Whether the store has answered lately.
     pub fn store_reachable(&self) -> bool {
-        let limit_ms = if self.leads() { STORE_HEARD_MS } else { FOLLOWER_STORE_HEARD_MS };
-        clock::now().steady_ms.saturating_sub(self.store_heard_ms.get()) < limit_ms
+        let limit_ms = if self.leads() { STORE_REACHABLE_MS } else { FOLLOWER_STORE_REACHABLE_MS };
+        clock::now().steady_ms.saturating_sub(self.last_store_response_ms.get()) < limit_ms
     }
 
     /// Whether the process is to stop.
@@ -306,7 +306,7 @@
 }
 
 /// The same for an instance that does not lead: it hears from the store at least this often.
-const FOLLOWER_STORE_HEARD_MS: u64 = 3_000;
+const FOLLOWER_STORE_REACHABLE_MS: u64 = 3_000;
 
 fn parse(address: &str) -> io::Result<SocketAddr> {
     address.parse().map_err(|err| io::Error::new(io::ErrorKind::InvalidInput, err))
--- a/lilacpass-node/src/operators.rs
+++ b/lilacpass-node/src/operator_api.rs
@@ -7,7 +7,7 @@
 use lilacpass_platform::server::Reply;
 use serde_json::{Value, json};
 
-use crate::{clock, lead_handle::Inspect, node::Node};
+use crate::{clock, leader_handle::Inspect, node::Node};
 
 /// Path of the state of an instance.
 pub const INSTANCE_PATH: &str = "/operator/instance";
@@ -31,7 +31,7 @@
     } else {
         return Reply::error(StatusCode::NOT_FOUND, "no such call");
     };
-    let lead = node.lead.borrow().clone();
+    let lead = node.leader_handle.borrow().clone();
     let answer = match lead {
         Some(lead) => lead.inspect(inspect).await,
         None => None,
@@ -56,8 +56,8 @@
         "leads": node.leads(),
         "epoch": view.epoch,
         "leader": view.address,
-        "leader_heard_ago_ms": now_ms.saturating_sub(node.leader_heard_ms.get()),
-        "store_heard_ago_ms": now_ms.saturating_sub(node.store_heard_ms.get()),
+        "leader_heard_ago_ms": now_ms.saturating_sub(node.last_leader_response_ms.get()),
+        "store_heard_ago_ms": now_ms.saturating_sub(node.last_store_response_ms.get()),
         "desired_version": node.desired_version(),
         "open_requests": node.open_requests.get(),
         "leaving": node.is_leaving(),
--- a/lilacpass-node/src/orders.rs
+++ b/lilacpass-node/src/orders.rs
@@ -15,92 +15,94 @@
 use crate::{
     budget::RetryBudget,
     node::Node,
-    relay_calls,
+    relay_client,
     relay_messages::{self, Order},
-    relays::Relayed,
+    relays::RelayResult,
 };
 
 /// The relay by which an order goes; none where it is sent from here.
 ///
 /// Calls from here stand in boxes of their own: they are large, and each order would else move room for
 /// two or three of them about, most of it never used.
-pub type Via = Option<Rc<str>>;
+pub type Route = Option<Rc<str>>;
 
 /// An order is sent again after so long. Sound workers answer within 5 ms, and a busy leader handles
 /// the answer some tens of milliseconds later.
-const LATE: Duration = Duration::from_millis(100);
+const RESEND_DELAY: Duration = Duration::from_millis(100);
 
 /// Looks at a worker.
 ///
 /// A look of which the relay tells nothing is made again from here, without a wait: the relay is gone, and its
 /// workers are not. One that the relay says the worker did not answer has failed.
-pub async fn look(
+pub async fn poll(
     node: &Rc<Node>,
-    via: Via,
+    route: Route,
     target: Target<'_>,
     look: Look,
 ) -> Result<LookAnswer, CallError> {
-    let Some(relay) = via else {
+    let Some(relay) = route else {
         let result = Box::pin(node.workers.look(target, look)).await;
-        node.relays.borrow_mut().looked(target.name, result.is_ok());
+        node.relays.borrow_mut().record_direct_poll(target.name, result.is_ok());
         return result;
     };
-    let order = relay_messages::look(target.name.as_str(), target.address, look);
-    let patience = Duration::from_millis(look.wait_ms + look.answer_ms);
-    match relay_calls::carry_out(node, &relay, order, patience).await {
-        Relayed::Outcome(Ok(Some(answer))) => Ok(answer),
+    let order = relay_messages::poll(target.name.as_str(), target.address, look);
+    let execution_timeout = Duration::from_millis(look.wait_ms + look.answer_ms);
+    match relay_client::execute(node, &relay, order, execution_timeout).await {
+        RelayResult::Outcome(Ok(Some(answer))) => Ok(answer),
         // An answer to something else.
-        Relayed::Outcome(Ok(None)) => Err(CallError::Failed(Verdict::MayHaveRun)),
-        Relayed::Outcome(Err(err)) => {
+        RelayResult::Outcome(Ok(None)) => Err(CallError::Failed(Verdict::MayHaveRun)),
+        RelayResult::Outcome(Err(err)) => {
             if matches!(err, CallError::Failed(_)) {
-                node.relays.borrow_mut().doubt(target.name, &relay);
+                node.relays.borrow_mut().suspect_worker(target.name, &relay);
             }
             Err(err)
         }
-        Relayed::Lost(_) => Box::pin(node.workers.look(target, Look { wait_ms: 0, ..look })).await,
+        RelayResult::Lost(_) => {
+            Box::pin(node.workers.look(target, Look { wait_ms: 0, ..look })).await
+        }
     }
 }
 
 /// Starts a run.
 pub async fn start(
     node: &Rc<Node>,
-    via: Via,
+    route: Route,
     target: Target<'_>,
     start: Start<'_>,
 ) -> Result<(), CallError> {
     let order = || relay_messages::start(target.name.as_str(), target.address, start);
-    give(node, via, order, || Box::pin(node.workers.start(target, start))).await
+    send_order(node, route, order, || Box::pin(node.workers.start(target, start))).await
 }
 
 /// Stops a run, or prevents it from starting later.
 pub async fn stop(
     node: &Rc<Node>,
-    via: Via,
+    route: Route,
     target: Target<'_>,
     task: TaskName,
     run: u32,
 ) -> Result<(), CallError> {
     let order = || relay_messages::stop(target.name.as_str(), target.address, task, run);
-    give(node, via, order, || Box::pin(node.workers.stop(target, task, run))).await
+    send_order(node, route, order, || Box::pin(node.workers.stop(target, task, run))).await
 }
 
 /// Gives an order, by way of the relay if there is one, and from here if its answer is late.
-async fn give<F>(
+async fn send_order<F>(
     node: &Rc<Node>,
-    via: Via,
+    route: Route,
     order: impl FnOnce() -> Order,
     send: impl Fn() -> F,
 ) -> Result<(), CallError>
 where
     F: Future<Output = Result<(), CallError>>,
 {
-    let Some(relay) = via else { return twice(&node.order_budget, send).await };
-    let first = relayed(node, &relay, order(), &send);
-    then_again(&node.order_budget, first, &send).await
+    let Some(relay) = route else { return send_with_retry(&node.order_budget, send).await };
+    let first = send_through_relay(node, &relay, order(), &send);
+    resend_if_late(&node.order_budget, first, &send).await
 }
 
 /// Has a relay carry an order out. One that surely was not is sent from here.
-async fn relayed<F>(
+async fn send_through_relay<F>(
     node: &Rc<Node>,
     relay: &Rc<str>,
     order: Order,
@@ -109,26 +111,26 @@
 where
     F: Future<Output = Result<(), CallError>>,
 {
-    match relay_calls::carry_out(node, relay, order, workers::ORDER_TIMEOUT).await {
-        Relayed::Outcome(Ok(_)) => Ok(()),
-        Relayed::Outcome(Err(CallError::Failed(Verdict::NotRun)))
-        | Relayed::Lost(Verdict::NotRun) => send().await,
-        Relayed::Outcome(Err(err)) => Err(err),
-        Relayed::Lost(_) => Err(CallError::Failed(Verdict::MayHaveRun)),
+    match relay_client::execute(node, relay, order, workers::ORDER_TIMEOUT).await {
+        RelayResult::Outcome(Ok(_)) => Ok(()),
+        RelayResult::Outcome(Err(CallError::Failed(Verdict::NotRun)))
+        | RelayResult::Lost(Verdict::NotRun) => send().await,
+        RelayResult::Outcome(Err(err)) => Err(err),
+        RelayResult::Lost(_) => Err(CallError::Failed(Verdict::MayHaveRun)),
     }
 }
 
 /// Sends an order, and again if its answer is late and the budget allows it. Returns the first answer
 /// that settles both.
-pub async fn twice<F>(budget: &RetryBudget, send: impl Fn() -> F) -> Result<(), CallError>
+pub async fn send_with_retry<F>(budget: &RetryBudget, send: impl Fn() -> F) -> Result<(), CallError>
 where
     F: Future<Output = Result<(), CallError>>,
 {
-    then_again(budget, send(), &send).await
+    resend_if_late(budget, send(), &send).await
 }
 
 /// The same where the first copy goes another way.
-async fn then_again<F>(
+async fn resend_if_late<F>(
     budget: &RetryBudget,
     first: impl Future<Output = Result<(), CallError>>,
     send: impl Fn() -> F,
@@ -138,7 +140,7 @@
 {
     budget.earn();
     let mut first = pin!(first);
-    if let Ok(result) = time::timeout(LATE, &mut first).await {
+    if let Ok(result) = time::timeout(RESEND_DELAY, &mut first).await {
         return result;
     }
     if !budget.spend() {
@@ -149,16 +151,16 @@
         answer = &mut first => (answer, true),
         answer = &mut second => (answer, false),
     };
-    if settles_both(&answer) {
+    if is_conclusive(&answer) {
         return answer;
     }
     let other = if first_answered { second.await } else { first.await };
-    if settles_both(&other) { other } else { Err(CallError::Failed(Verdict::MayHaveRun)) }
+    if is_conclusive(&other) { other } else { Err(CallError::Failed(Verdict::MayHaveRun)) }
 }
 
 /// Whether the answer to one copy tells what became of the other. A refusal for another reason does
 /// not: the other copy may come later, when the reason has gone, or may have come before and be the
 /// reason.
-fn settles_both(answer: &Result<(), CallError>) -> bool {
+fn is_conclusive(answer: &Result<(), CallError>) -> bool {
     matches!(answer, Ok(()) | Err(CallError::OtherLife | CallError::Refused(Refusal::Fence)))
 }
--- a/lilacpass-node/src/peers.rs
+++ b/lilacpass-node/src/peers.rs
@@ -1,4 +1,4 @@
-//! What instances say to each other: greetings to the leader, callers' requests handed on to it, and
+//! What instances say to each other: greetings to the leader, callers' requests forwarded on to it, and
 //! calls for advice that it hands out.
 
 use std::{rc::Rc, time::Duration};
@@ -20,7 +20,7 @@
 use tokio::time;
 
 use crate::{
-    clock, desired_relay, election, members::Peer, metrics, node::Node, operators, order_relay,
+    clock, desired_relay, election, members::Peer, metrics, node::Node, operator_api, relay_server,
 };
 
 const HELLO_PATH: &str = "/peer/hello";
@@ -31,48 +31,50 @@
 const ORDERS_PATH: &str = "/peer/orders";
 const OUTCOMES_PATH: &str = "/peer/outcomes";
 /// How many times what a message takes on an idle link it may take: others share the link.
-const LINK_TIMES: u32 = 3;
+const LINK_FACTOR: u32 = 3;
 /// Added to the time that a call for advice may take, for the way to the peer and back.
 const HOP_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Longest body that a peer may send: five hundred starts with the longest text that a job may have, and more.
-const MOST_BODY_BYTES: usize = 4 << 20;
+const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// Bounds for what peers send.
 pub fn limits() -> Limits {
-    Limits { idle_timeout_ms: 60_000, body_bytes: MOST_BODY_BYTES, ..Limits::default() }
+    Limits { idle_timeout_ms: 60_000, body_bytes: MAX_BODY_BYTES, ..Limits::default() }
 }
 
 /// Serves a peer.
 pub async fn serve(node: Rc<Node>, received: Received) -> Reply {
     let body = match received.path.as_str() {
-        HELLO_PATH => decode(&received.body).map(|hello| on_hello(&node, hello).encode_to_vec()),
+        HELLO_PATH => {
+            decode(&received.body).map(|hello| handle_heartbeat(&node, hello).encode_to_vec())
+        }
         WORK_PATH => match decode::<v1::PeerWork>(&received.body) {
-            Ok(work) => Ok(on_work(&node, work).await.encode_to_vec()),
+            Ok(work) => Ok(handle_work(&node, work).await.encode_to_vec()),
             Err(err) => Err(err),
         },
         ADVISE_PATH => match decode::<v1::PeerAdvise>(&received.body) {
-            Ok(question) => Ok(on_advise(&node, question).await.encode_to_vec()),
+            Ok(question) => Ok(handle_advise(&node, question).await.encode_to_vec()),
             Err(err) => Err(err),
         },
         PROMOTE_PATH => match decode::<v1::PeerHello>(&received.body) {
             Ok(former) => {
-                election::promote(&node, former.leaving).await;
-                Ok(own_view(&node).encode_to_vec())
+                election::take_over_on_request(&node, former.leaving).await;
+                Ok(leadership_view(&node).encode_to_vec())
             }
             Err(err) => Err(err),
         },
         CONFIG_PATH => decode(&received.body)
             .map(|question| desired_relay::serve(&node, &question).encode_to_vec()),
         ORDERS_PATH => match decode(&received.body) {
-            Ok(orders) => return taken(order_relay::take(&node, orders)),
+            Ok(orders) => return acceptance_reply(relay_server::accept(&node, orders)),
             Err(err) => Err(err),
         },
         OUTCOMES_PATH => match decode(&received.body) {
-            Ok(outcomes) => return taken(on_outcomes(&node, outcomes)),
+            Ok(outcomes) => return acceptance_reply(handle_outcomes(&node, outcomes)),
             Err(err) => Err(err),
         },
-        path => return operators::serve(&node, path).await,
+        path => return operator_api::serve(&node, path).await,
     };
     match body {
         Ok(body) => Reply::body(StatusCode::OK, Bytes::from(body)),
@@ -84,8 +86,8 @@
 }
 
 /// The answer to a message of a leader, or to one: it is refused where another leads.
-fn taken(is_taken: bool) -> Reply {
-    if is_taken {
+fn acceptance_reply(is_accepted: bool) -> Reply {
+    if is_accepted {
         return Reply::body(StatusCode::OK, Bytes::new());
     }
     Reply::error(StatusCode::CONFLICT, "another leader is known")
@@ -102,11 +104,11 @@
     message: &impl Message,
     timeout: Duration,
 ) -> Result<M> {
-    let call = build(address, path, message, timeout);
-    read(&node.client.call(&call).await?)
+    let call = build_call(address, path, message, timeout);
+    read_response(&node.client.call(&call).await?)
 }
 
-/// Sends a message that is answered with nothing but whether it was taken.
+/// Sends a message that is answered with no_advice but whether it was taken.
 async fn send(
     node: &Node,
     address: &str,
@@ -114,13 +116,13 @@
     message: &impl Message,
     timeout: Duration,
 ) -> Result<()> {
-    // A thin link takes its time for a long message, and one that is given up and sent again fills it for nothing.
-    let on_link = node.settings.link.time_for(size::Bytes(message.encoded_len() as u64));
-    let call = build(address, path, message, timeout + on_link * LINK_TIMES);
+    // A thin link takes its time for a long message, and one that is given up and sent again fills it for no_advice.
+    let transfer_time = node.settings.link.time_for(size::Bytes(message.encoded_len() as u64));
+    let call = build_call(address, path, message, timeout + transfer_time * LINK_FACTOR);
     let response = node.client.call(&call).await?;
     match response.status {
         StatusCode::OK => Ok(()),
-        // A receiver that does not take a message does nothing of it.
+        // A receiver that does not take a message does no_advice of it.
         status => Err(Error::Busy(status.as_u16())),
     }
 }
@@ -146,19 +148,19 @@
 }
 
 /// Takes in what came of orders. Returns whether they were this leader's.
-fn on_outcomes(node: &Node, message: v1::PeerOutcomes) -> bool {
+fn handle_outcomes(node: &Node, message: v1::PeerOutcomes) -> bool {
     let mut relays = node.relays.borrow_mut();
     if !node.leads() || message.epoch != relays.epoch() {
         return false;
     }
-    let unknown = relays.settle(message.outcomes);
+    let unknown = relays.handle_outcomes(message.outcomes);
     if unknown > 0 {
         log::debug!(unknown; "outcomes that nobody waits for");
     }
     true
 }
 
-fn build<'a>(
+fn build_call<'a>(
     address: &'a str,
     path: &'a str,
     message: &impl Message,
@@ -168,7 +170,7 @@
     Call { address, method: Method::POST, path, headers: &[], body, timeout }
 }
 
-fn read<M: Message + Default>(response: &Response) -> Result<M> {
+fn read_response<M: Message + Default>(response: &Response) -> Result<M> {
     if response.status != StatusCode::OK {
         return Err(Error::Status(response.status.as_u16()));
     }
@@ -177,19 +179,23 @@
 
 /// Asks an instance for the desired state, if it has a newer one than `known_version`. `timeout` bounds the time
 /// until the answer begins, and each pause within it.
-pub async fn fetch_config(
+pub async fn fetch_desired(
     node: &Node,
     address: &str,
     known_version: u64,
     timeout: Duration,
 ) -> Result<v1::PeerConfigReply> {
     let question = v1::PeerConfig { known_version };
-    let call = build(address, CONFIG_PATH, &question, timeout);
-    read(&node.client.fetch(&call, timeout).await?)
+    let call = build_call(address, CONFIG_PATH, &question, timeout);
+    read_response(&node.client.fetch(&call, timeout).await?)
 }
 
 /// Greets the leader, or one that may be it.
-pub async fn hello(node: &Node, address: &str, timeout: Duration) -> Result<v1::PeerHelloReply> {
+pub async fn send_heartbeat(
+    node: &Node,
+    address: &str,
+    timeout: Duration,
+) -> Result<v1::PeerHelloReply> {
     let message = v1::PeerHello {
         instance: node.settings.instance.clone(),
         address: node.peer_address(),
@@ -201,33 +207,33 @@
         peers_revision: node.known_members.borrow().revision,
     };
     let reply: v1::PeerHelloReply = post(node, address, HELLO_PATH, &message, timeout).await?;
-    node.note_desired_elsewhere(reply.config_version, address);
+    node.record_desired_source(reply.config_version, address);
     Ok(reply)
 }
 
-fn on_hello(node: &Node, hello: v1::PeerHello) -> v1::PeerHelloReply {
+fn handle_heartbeat(node: &Node, hello: v1::PeerHello) -> v1::PeerHelloReply {
     let now_ms = clock::now().steady_ms;
     let peer = Peer {
-        heard_ms: now_ms,
+        last_heartbeat_ms: now_ms,
         leaving: hello.leaving,
         store_reachable: hello.store_reachable,
         cpu_millis: hello.cpu_millis,
         data_centre: hello.data_centre,
     };
-    node.members.borrow_mut().greeted(&hello.address, peer);
-    node.note_desired_elsewhere(hello.config_version, &hello.address);
+    node.members.borrow_mut().record_heartbeat(&hello.address, peer);
+    node.record_desired_source(hello.config_version, &hello.address);
     let members = node.members.borrow();
     let is_known = hello.peers_revision == members.revision();
     v1::PeerHelloReply {
         peers: if is_known { Vec::new() } else { members.addresses() },
         peers_revision: members.revision(),
-        most_cpu_millis: node.most_cpu_of_present_millis(now_ms),
-        ..own_view(node)
+        most_cpu_millis: node.max_present_cpu_millis(now_ms),
+        ..leadership_view(node)
     }
 }
 
 /// Who leads, as far as this instance knows.
-fn own_view(node: &Node) -> v1::PeerHelloReply {
+fn leadership_view(node: &Node) -> v1::PeerHelloReply {
     let view = node.leader.borrow().clone();
     v1::PeerHelloReply {
         leads: node.leads(),
@@ -240,38 +246,42 @@
 }
 
 /// Asks a peer to take over.
-pub async fn promote(node: &Node, address: &str, timeout: Duration) -> Result<v1::PeerHelloReply> {
+pub async fn request_takeover(
+    node: &Node,
+    address: &str,
+    timeout: Duration,
+) -> Result<v1::PeerHelloReply> {
     let former = v1::PeerHello { leaving: node.is_leaving(), ..Default::default() };
     post(node, address, PROMOTE_PATH, &former, timeout).await
 }
 
 /// What came of handing a request to the leader.
 #[derive(Debug)]
-pub enum Handed {
+pub enum Forwarded {
     /// It answered.
     Answered(Answer),
-    /// It does not lead, and has done nothing.
+    /// It does not lead, and has done no_advice.
     NotLeading,
     /// No answer; the verdict says whether it may have been done.
     Failed(Verdict),
 }
 
 /// Hands a request to the leader.
-pub async fn hand_on(node: &Node, address: &str, ask: &Ask, timeout: Duration) -> Handed {
+pub async fn forward(node: &Node, address: &str, ask: &Ask, timeout: Duration) -> Forwarded {
     let message = encode_ask(ask);
     match post::<v1::PeerWorkReply>(node, address, WORK_PATH, &message, timeout).await {
         Ok(reply) => decode_answer(ask, reply),
-        Err(err) => Handed::Failed(err.verdict()),
+        Err(err) => Forwarded::Failed(err.verdict()),
     }
 }
 
-async fn on_work(node: &Node, work: v1::PeerWork) -> v1::PeerWorkReply {
+async fn handle_work(node: &Node, work: v1::PeerWork) -> v1::PeerWorkReply {
     let not_leading = || reply(v1::WorkOutcome::WorkNotLeading);
     let Some(ask) = decode_ask(work) else {
         let detail = "the request is incomplete".to_owned();
         return v1::PeerWorkReply { detail, ..reply(v1::WorkOutcome::WorkInvalid) };
     };
-    let Some(lead) = node.lead.borrow().clone() else { return not_leading() };
+    let Some(lead) = node.leader_handle.borrow().clone() else { return not_leading() };
     match lead.ask(ask).await {
         Some(answer) => encode_answer(&answer),
         None => reply(v1::WorkOutcome::WorkUncertain),
@@ -352,14 +362,14 @@
     }
 }
 
-fn decode_answer(ask: &Ask, reply: v1::PeerWorkReply) -> Handed {
+fn decode_answer(ask: &Ask, reply: v1::PeerWorkReply) -> Forwarded {
     let answer = match reply.outcome() {
-        v1::WorkOutcome::WorkNotLeading => return Handed::NotLeading,
+        v1::WorkOutcome::WorkNotLeading => return Forwarded::NotLeading,
         v1::WorkOutcome::WorkOk => match ask {
             Ask::Submit { .. } | Ask::Cancel(_) => Answer::Done,
             Ask::State(_) => match STATES.get(reply.pending as usize) {
                 Some(&state) => Answer::State(state),
-                None => return Handed::Failed(Verdict::MayHaveRun),
+                None => return Forwarded::Failed(Verdict::MayHaveRun),
             },
             Ask::Pending { .. } => Answer::Pending(reply.pending),
         },
@@ -370,13 +380,13 @@
         },
         v1::WorkOutcome::WorkInvalid => Answer::Invalid(reply.detail),
         v1::WorkOutcome::WorkConflict => Answer::Conflict,
-        v1::WorkOutcome::WorkUncertain => return Handed::Failed(Verdict::MayHaveRun),
+        v1::WorkOutcome::WorkUncertain => return Forwarded::Failed(Verdict::MayHaveRun),
     };
-    Handed::Answered(answer)
+    Forwarded::Answered(answer)
 }
 
 /// Obtains advice by way of a peer.
-pub async fn advise_by(
+pub async fn advise_through_peer(
     node: &Node,
     address: &str,
     step: StepName,
@@ -419,15 +429,15 @@
     result.inspect_err(|err| log::info!(step:% = step, error:% = err; "no advice")).ok()
 }
 
-async fn on_advise(node: &Node, question: v1::PeerAdvise) -> v1::PeerAdviseReply {
-    let nothing = v1::PeerAdviseReply::default();
-    let Some(step) = parse_step(&question.step) else { return nothing };
+async fn handle_advise(node: &Node, question: v1::PeerAdvise) -> v1::PeerAdviseReply {
+    let no_advice = v1::PeerAdviseReply::default();
+    let Some(step) = parse_step(&question.step) else { return no_advice };
     let workers: Vec<WorkerName> =
         question.workers.iter().map(|name| WorkerName::from(name.as_str())).collect();
     let timeout = Duration::from_millis(u64::from(question.timeout_ms));
-    let asked = time::Instant::now();
-    let Some(advice) = advise(node, step, &workers, timeout).await else { return nothing };
-    log::debug!(step:% = step, took_ms = asked.elapsed().as_millis() as u64; "advice");
+    let started = time::Instant::now();
+    let Some(advice) = advise(node, step, &workers, timeout).await else { return no_advice };
+    log::debug!(step:% = step, took_ms = started.elapsed().as_millis() as u64; "advice");
     let row = |row: TicketRow| v1::AdviceTicket {
         worker: row.worker.as_str().to_owned(),
         ticket: row.ticket,
--- a/lilacpass-node/src/registered.rs
+++ b/lilacpass-node/src/registered_workers.rs
@@ -7,38 +7,38 @@
 use lilacpass_platform::{registry, store::Placed};
 
 /// Looks in a row in which a worker must be missing: entries come back after the store does.
-const MISSING_LOOKS: u32 = 2;
+const MIN_MISSED_READS: u32 = 2;
 
 /// The registered workers.
 #[derive(Debug, Default)]
-pub struct Registered {
-    seen: HashMap<WorkerName, Seen>,
+pub struct RegisteredWorkers {
+    seen: HashMap<WorkerName, SeenEntry>,
 }
 
 /// A worker, or what is written in the place of one.
 #[derive(Debug, Default)]
-struct Seen {
+struct SeenEntry {
     /// Place of its newest entry.
     offset: u64,
     /// The worker; none where the entry names none that can be used.
     worker: Option<Registration>,
     /// Looks in a row in which it was missing.
-    missing: u32,
+    missed_reads: u32,
 }
 
-impl Registered {
+impl RegisteredWorkers {
     /// Takes in the newest entries of all workers. Returns what the leader is to be told: all workers, so that one
     /// that it has taken for gone by mistake comes back.
-    pub fn all(&mut self, records: Vec<Placed>) -> Vec<Event> {
+    pub fn apply_full_read(&mut self, records: Vec<Placed>) -> Vec<Event> {
         for seen in self.seen.values_mut() {
-            seen.missing += 1;
+            seen.missed_reads += 1;
         }
         let mut events = Vec::new();
         for placed in records {
-            let news = self.take_in(&placed);
-            events.extend(news.or_else(|| self.listed(&placed)));
+            let change = self.apply_entry(&placed);
+            events.extend(change.or_else(|| self.last_listing(&placed)));
         }
-        self.drop_missing(&mut events);
+        self.remove_missing(&mut events);
         events
     }
 
@@ -46,36 +46,36 @@
     ///
     /// Each worker writes its entry again and again, mostly with nothing new in it. To tell the leader of each would
     /// have it look for work for that worker each time.
-    pub fn changed(&mut self, records: Vec<Placed>) -> Vec<Event> {
+    pub fn apply_changes(&mut self, records: Vec<Placed>) -> Vec<Event> {
         let mut events = Vec::new();
         for placed in records {
             if placed.record.value.is_empty() {
-                self.removed(&placed);
+                self.mark_removed(&placed);
             } else {
-                events.extend(self.take_in(&placed));
+                events.extend(self.apply_entry(&placed));
             }
         }
         events
     }
 
     /// The worker that an entry names, as it was last seen.
-    fn listed(&self, placed: &Placed) -> Option<Event> {
+    fn last_listing(&self, placed: &Placed) -> Option<Event> {
         let name = WorkerName::from(placed.record.key.as_str());
         self.seen.get(&name)?.worker.clone().map(Event::WorkerListed)
     }
 
     /// Whether a worker was missing from the last look. Only a look at all entries tells whether it still is.
-    pub fn any_missing(&self) -> bool {
-        self.seen.values().any(|seen| seen.missing > 0)
+    pub fn has_missing(&self) -> bool {
+        self.seen.values().any(|seen| seen.missed_reads > 0)
     }
 
     /// Notes an entry. Returns what it says that is new.
-    fn take_in(&mut self, placed: &Placed) -> Option<Event> {
+    fn apply_entry(&mut self, placed: &Placed) -> Option<Event> {
         let key = placed.record.key.as_str();
         let name = WorkerName::from(key);
         let is_new = !self.seen.contains_key(&name);
         let seen = self.seen.entry(name.clone()).or_default();
-        seen.missing = 0;
+        seen.missed_reads = 0;
         if !is_new && placed.offset <= seen.offset {
             return None;
         }
@@ -97,18 +97,18 @@
     }
 
     /// Notes that an entry was removed.
-    fn removed(&mut self, placed: &Placed) {
+    fn mark_removed(&mut self, placed: &Placed) {
         let name = WorkerName::from(placed.record.key.as_str());
         let Some(seen) = self.seen.get_mut(&name) else { return };
         if placed.offset > seen.offset {
             seen.offset = placed.offset;
-            seen.missing = 1;
+            seen.missed_reads = 1;
         }
     }
 
-    fn drop_missing(&mut self, events: &mut Vec<Event>) {
+    fn remove_missing(&mut self, events: &mut Vec<Event>) {
         self.seen.retain(|name, seen| {
-            let is_gone = seen.missing >= MISSING_LOOKS;
+            let is_gone = seen.missed_reads >= MIN_MISSED_READS;
             if is_gone {
                 log::info!(worker:% = name; "worker is no longer registered");
                 events.push(Event::WorkerUnlisted(name.clone()));
--- a/lilacpass-node/src/registry_watch.rs
+++ b/lilacpass-node/src/registry_watch.rs
@@ -13,7 +13,7 @@
     time::{self, Instant},
 };
 
-use crate::{lead_handle::Message, metrics, node::Node, registered::Registered};
+use crate::{leader_handle::Message, metrics, node::Node, registered_workers::RegisteredWorkers};
 
 /// Time between looks. A worker that drains must get no starts 2 s after it says so.
 const INTERVAL: Duration = Duration::from_millis(500);
@@ -21,42 +21,42 @@
 const TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Time between looks at all entries, which find those that were removed without a record. A look at all takes some
 /// hundred bytes a worker: made each time, they keep orders and renewals waiting on a thin link.
-const ALL_INTERVAL: Duration = Duration::from_secs(10);
+const FULL_READ_INTERVAL: Duration = Duration::from_secs(10);
 
 /// What a look brought.
-enum Look {
+enum RegistryRead {
     /// The newest entries of all workers, and where to read on.
     All(Vec<Placed>, u64),
     /// Entries that were written since, and where to read on.
     Changes(Vec<Placed>, u64),
     /// The store has deleted what was written since.
-    Gone,
+    Truncated,
 }
 
 /// Follows the workers until the leader has ended.
 pub async fn run(node: Rc<Node>, messages: mpsc::UnboundedSender<Message>) {
-    let mut registered = Registered::default();
+    let mut registered = RegisteredWorkers::default();
     let mut next = None;
-    let mut all_at = Instant::now();
+    let mut next_full_read = Instant::now();
     while !messages.is_closed() {
-        let from = next.filter(|_| Instant::now() < all_at && !registered.any_missing());
-        let look = match from {
+        let from = next.filter(|_| Instant::now() < next_full_read && !registered.has_missing());
+        let result = match from {
             Some(from) => read_changes(&node, from).await,
             None => read_all(&node).await,
         };
         let what = if from.is_some() { "changes" } else { "all" };
-        node.metrics.workers_read(what, metrics::outcome(&look));
-        let mut events = match look {
-            Ok(Look::All(records, place)) => {
-                next = Some(place);
-                all_at = Instant::now() + ALL_INTERVAL;
-                registered.all(records)
+        node.metrics.workers_read(what, metrics::outcome(&result));
+        let mut events = match result {
+            Ok(RegistryRead::All(records, position)) => {
+                next = Some(position);
+                next_full_read = Instant::now() + FULL_READ_INTERVAL;
+                registered.apply_full_read(records)
             }
-            Ok(Look::Changes(records, place)) => {
-                next = Some(place);
-                registered.changed(records)
+            Ok(RegistryRead::Changes(records, position)) => {
+                next = Some(position);
+                registered.apply_changes(records)
             }
-            Ok(Look::Gone) => {
+            Ok(RegistryRead::Truncated) => {
                 next = None;
                 continue;
             }
@@ -77,38 +77,38 @@
 }
 
 /// Reads the newest entry of each worker. What is written meanwhile is read after it, since pages are no snapshot.
-async fn read_all(node: &Node) -> Result<Look> {
+async fn read_all(node: &Node) -> Result<RegistryRead> {
     let partition = Partition::of_platform(registry::TOPIC);
     let mut records = Vec::new();
     let mut end = None;
     loop {
         let after = records.last().map(|placed: &Placed| placed.record.key.clone());
         let page = node.store.newest(&partition, after.as_deref(), TIMEOUT).await?;
-        node.store_heard();
+        node.record_store_response();
         let end = *end.get_or_insert(page.end);
-        let more = page.more && !page.records.is_empty();
+        let has_more = page.more && !page.records.is_empty();
         records.extend(page.records);
-        if !more {
-            return Ok(Look::All(records, end));
+        if !has_more {
+            return Ok(RegistryRead::All(records, end));
         }
     }
 }
 
-/// Reads what was written from a place on.
-async fn read_changes(node: &Node, from: u64) -> Result<Look> {
+/// Reads what was written from a position on.
+async fn read_changes(node: &Node, from: u64) -> Result<RegistryRead> {
     let partition = Partition::of_platform(registry::TOPIC);
     let mut records = Vec::new();
     let mut next = from;
     loop {
         match node.store.read(&partition, next, Duration::ZERO, TIMEOUT).await? {
-            Read::Gone => return Ok(Look::Gone),
+            Read::Gone => return Ok(RegistryRead::Truncated),
             Read::Records { records: read, end } => {
-                node.store_heard();
+                node.record_store_response();
                 next += read.len() as u64;
-                let is_whole = read.is_empty() || next >= end;
+                let is_complete = read.is_empty() || next >= end;
                 records.extend(read);
-                if is_whole {
-                    return Ok(Look::Changes(records, next));
+                if is_complete {
+                    return Ok(RegistryRead::Changes(records, next));
                 }
             }
         }
--- a/lilacpass-node/src/relay_calls.rs
+++ b/lilacpass-node/src/relay_client.rs
@@ -6,34 +6,34 @@
 use lilacpass_schema::v1;
 use tokio::time;
 
-use crate::{clock, node::Node, peers, relay_messages::Order, relays::Relayed};
+use crate::{clock, node::Node, peers, relay_messages::Order, relays::RelayResult};
 
 /// Time between two messages to a relay. What is decided meanwhile shares the next.
-const GAP: Duration = Duration::from_millis(15);
+const MESSAGE_INTERVAL: Duration = Duration::from_millis(15);
 /// How long a relay may take to confirm a message, which it does before it acts on it.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(400);
 /// Added to the time that an order takes at its worker: both ways between leader and relay, and the gathering of
 /// messages at both.
-const HOP: Duration = Duration::from_millis(200);
+const RELAY_OVERHEAD: Duration = Duration::from_millis(200);
 
-/// Has a relay carry an order out. Waits for `patience` and the ways between.
-pub async fn carry_out(
+/// Has a relay carry an order out. Waits for `execution_timeout` and the ways between.
+pub async fn execute(
     node: &Rc<Node>,
     address: &Rc<str>,
     order: Order,
-    patience: Duration,
-) -> Relayed {
-    let put = node.relays.borrow_mut().put(address, order);
-    let Some((number, receiver)) = put else { return Relayed::Lost(Verdict::NotRun) };
+    execution_timeout: Duration,
+) -> RelayResult {
+    let enqueued = node.relays.borrow_mut().enqueue(address, order);
+    let Some((number, receiver)) = enqueued else { return RelayResult::Lost(Verdict::NotRun) };
     if node.relays.borrow_mut().begin_sending(address) {
         tokio::task::spawn_local(send_queue(node.clone(), address.clone()));
     }
-    match time::timeout(patience + HOP, receiver).await {
-        Ok(Ok(relayed)) => relayed,
-        Ok(Err(_)) => Relayed::Lost(Verdict::MayHaveRun),
+    match time::timeout(execution_timeout + RELAY_OVERHEAD, receiver).await {
+        Ok(Ok(result)) => result,
+        Ok(Err(_)) => RelayResult::Lost(Verdict::MayHaveRun),
         Err(_) => {
-            node.relays.borrow_mut().give_up(number);
-            Relayed::Lost(Verdict::MayHaveRun)
+            node.relays.borrow_mut().record_timeout(number);
+            RelayResult::Lost(Verdict::MayHaveRun)
         }
     }
 }
@@ -42,9 +42,9 @@
 async fn send_queue(node: Rc<Node>, address: Rc<str>) {
     loop {
         let epoch = node.relays.borrow().epoch();
-        let Some(orders) = node.relays.borrow_mut().take_queue(&address) else { return };
+        let Some(orders) = node.relays.borrow_mut().take_batch(&address) else { return };
         let numbers: Vec<u64> = orders.iter().map(|order| order.message.number).collect();
-        let message = write(&node, epoch, orders);
+        let message = build_message(&node, epoch, orders);
         if let Err(err) = peers::send_orders(&node, &address, &message, CONFIRM_TIMEOUT).await {
             log::info!(relay = &*address, orders = numbers.len(), error:% = err; "relay does not take orders");
             let mut relays = node.relays.borrow_mut();
@@ -53,20 +53,20 @@
             }
             return;
         }
-        time::sleep(GAP).await;
+        time::sleep(MESSAGE_INTERVAL).await;
     }
 }
 
 /// A message with orders, in which each payload stands once.
-fn write(node: &Node, epoch: u64, orders: Vec<Order>) -> v1::PeerOrders {
-    let mut places: HashMap<String, u32> = HashMap::new();
+fn build_message(node: &Node, epoch: u64, orders: Vec<Order>) -> v1::PeerOrders {
+    let mut payload_indices: HashMap<String, u32> = HashMap::new();
     let mut message =
         v1::PeerOrders { epoch, leader_address: node.peer_address(), ..Default::default() };
     for order in orders {
         let mut relayed = order.message;
         if let Some(start) = &mut relayed.start {
             let next = message.payloads.len() as u32;
-            start.payload = *places.entry(order.payload).or_insert_with_key(|payload| {
+            start.payload = *payload_indices.entry(order.payload).or_insert_with_key(|payload| {
                 message.payloads.push(payload.clone());
                 next
             });
--- a/lilacpass-node/src/relay_messages.rs
+++ b/lilacpass-node/src/relay_messages.rs
@@ -16,14 +16,14 @@
 }
 
 /// A look at a worker.
-pub fn look(worker: &str, address: &str, look: Look) -> Order {
+pub fn poll(worker: &str, address: &str, look: Look) -> Order {
     let look = v1::RelayedLook {
         lease_until_ms: look.lease_until_ms,
         forget_upto: look.forget_upto,
         wait_ms: look.wait_ms as u32,
         answer_ms: look.answer_ms as u32,
     };
-    let message = v1::RelayedOrder { look: Some(look), ..to(worker, address) };
+    let message = v1::RelayedOrder { look: Some(look), ..addressed_to(worker, address) };
     Order { message, payload: String::new() }
 }
 
@@ -37,18 +37,18 @@
         checkpoint: start.checkpoint.to_owned(),
         ticket: start.ticket.map(str::to_owned),
     };
-    let message = v1::RelayedOrder { start: Some(start), ..to(worker, address) };
+    let message = v1::RelayedOrder { start: Some(start), ..addressed_to(worker, address) };
     Order { message, payload }
 }
 
 /// A stop.
 pub fn stop(worker: &str, address: &str, task: TaskName, run: u32) -> Order {
     let stop = v1::RelayedStop { run: Some(write_run(task, run)) };
-    let message = v1::RelayedOrder { stop: Some(stop), ..to(worker, address) };
+    let message = v1::RelayedOrder { stop: Some(stop), ..addressed_to(worker, address) };
     Order { message, payload: String::new() }
 }
 
-fn to(worker: &str, address: &str) -> v1::RelayedOrder {
+fn addressed_to(worker: &str, address: &str) -> v1::RelayedOrder {
     let (worker, address) = (worker.to_owned(), address.to_owned());
     v1::RelayedOrder { worker, address, ..Default::default() }
 }
@@ -66,7 +66,7 @@
 }
 
 /// Reads a look.
-pub fn read_look(look: &v1::RelayedLook) -> Look {
+pub fn read_poll(look: &v1::RelayedLook) -> Look {
     Look {
         lease_until_ms: look.lease_until_ms,
         forget_upto: look.forget_upto,
@@ -76,7 +76,7 @@
 }
 
 /// What came of an order.
-pub fn outcome(number: u64, result: Result<(), CallError>) -> v1::RelayedOutcome {
+pub fn order_outcome(number: u64, result: Result<(), CallError>) -> v1::RelayedOutcome {
     let outcome = match result {
         Ok(()) => v1::OrderOutcome::OrderDone,
         Err(CallError::Failed(Verdict::NotRun)) => v1::OrderOutcome::OrderNotRun,
@@ -100,13 +100,13 @@
 }
 
 /// What came of a look.
-pub fn look_outcome(number: u64, result: Result<LookAnswer, CallError>) -> v1::RelayedOutcome {
+pub fn poll_outcome(number: u64, result: Result<LookAnswer, CallError>) -> v1::RelayedOutcome {
     match result {
         Ok(answer) => {
             let answer = Some(write_answer(answer));
-            v1::RelayedOutcome { answer, ..outcome(number, Ok(())) }
+            v1::RelayedOutcome { answer, ..order_outcome(number, Ok(())) }
         }
-        Err(err) => outcome(number, Err(err)),
+        Err(err) => order_outcome(number, Err(err)),
     }
 }
 
--- a/lilacpass-node/src/order_relay.rs
+++ b/lilacpass-node/src/relay_server.rs
@@ -10,25 +10,25 @@
 use lilacpass_schema::v1;
 use tokio::{task, time};
 
-use crate::{entry::OpenRequest, node::Node, peers, relay_messages};
+use crate::{frontend::OpenRequest, node::Node, peers, relay_messages};
 
 /// How long outcomes are gathered, so that many share a message.
-const GATHER: Duration = Duration::from_millis(15);
+const BATCH_INTERVAL: Duration = Duration::from_millis(15);
 /// How long the leader may take to confirm outcomes. They are not sent again: the leader looks itself.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Where outcomes go: the leader's address and its epoch.
 type Destination = (String, u64);
 
-/// Outcomes on their way to leaders. A destination is there while its outcomes are being sent.
+/// PendingOutcomes on their way to leaders. A destination is there while its outcomes are being sent.
 #[derive(Debug, Default)]
-pub struct Outcomes {
+pub struct PendingOutcomes {
     waiting: HashMap<Destination, Vec<v1::RelayedOutcome>>,
 }
 
 /// Takes orders from the leader and begins to carry them out. Returns whether they are taken: those of a leader that was
 /// replaced are not.
-pub fn take(node: &Rc<Node>, message: v1::PeerOrders) -> bool {
+pub fn accept(node: &Rc<Node>, message: v1::PeerOrders) -> bool {
     if message.epoch < node.leader.borrow().epoch {
         log::info!(epoch = message.epoch, leader = message.leader_address.as_str(); "orders of a former leader");
         return false;
@@ -40,10 +40,10 @@
         task::spawn_local(async move {
             // A planned stop waits for it.
             let open = OpenRequest::new(&node);
-            let outcome = carry_out(&node, destination.1, &order, &payloads).await;
+            let outcome = execute(&node, destination.1, &order, &payloads).await;
             drop(open);
             if let Some(outcome) = outcome {
-                tell(&node, destination, outcome);
+                queue_outcome(&node, destination, outcome);
             }
         });
     }
@@ -51,7 +51,7 @@
 }
 
 /// Carries out an order. None where it makes no sense, so that the leader hears nothing of it.
-async fn carry_out(
+async fn execute(
     node: &Node,
     epoch: u64,
     order: &v1::RelayedOrder,
@@ -61,14 +61,14 @@
     let target = Target { name: &worker, address: &order.address, epoch };
     let number = order.number;
     if let Some(look) = &order.look {
-        let result = node.workers.look(target, relay_messages::read_look(look)).await;
-        return Some(relay_messages::look_outcome(number, result));
+        let result = node.workers.look(target, relay_messages::read_poll(look)).await;
+        return Some(relay_messages::poll_outcome(number, result));
     }
     if let Some(start) = &order.start {
         let (Some((task, run)), Some(payload)) =
             (relay_messages::read_run(start.run.as_ref()), payloads.get(start.payload as usize))
         else {
-            return incomplete(number);
+            return reject_incomplete(number);
         };
         let start = Start {
             task,
@@ -78,37 +78,41 @@
             checkpoint: &start.checkpoint,
             ticket: start.ticket.as_deref(),
         };
-        return Some(relay_messages::outcome(number, node.workers.start(target, start).await));
+        return Some(relay_messages::order_outcome(
+            number,
+            node.workers.start(target, start).await,
+        ));
     }
     let run = order.stop.as_ref().and_then(|stop| relay_messages::read_run(stop.run.as_ref()));
-    let Some((task, run)) = run else { return incomplete(number) };
-    Some(relay_messages::outcome(number, node.workers.stop(target, task, run).await))
+    let Some((task, run)) = run else { return reject_incomplete(number) };
+    Some(relay_messages::order_outcome(number, node.workers.stop(target, task, run).await))
 }
 
-fn incomplete(number: u64) -> Option<v1::RelayedOutcome> {
+fn reject_incomplete(number: u64) -> Option<v1::RelayedOutcome> {
     log::warn!(number; "order is incomplete");
     None
 }
 
 /// Has the leader told of an outcome, together with those that come meanwhile.
-fn tell(node: &Rc<Node>, destination: Destination, outcome: v1::RelayedOutcome) {
-    let mut outcomes = node.outcomes.borrow_mut();
+fn queue_outcome(node: &Rc<Node>, destination: Destination, outcome: v1::RelayedOutcome) {
+    let mut outcomes = node.pending_outcomes.borrow_mut();
     if let Some(waiting) = outcomes.waiting.get_mut(&destination) {
         waiting.push(outcome);
         return;
     }
     outcomes.waiting.insert(destination.clone(), vec![outcome]);
-    task::spawn_local(send(node.clone(), destination));
+    task::spawn_local(send_outcomes(node.clone(), destination));
 }
 
 /// Sends outcomes until there are no more.
-async fn send(node: Rc<Node>, destination: Destination) {
+async fn send_outcomes(node: Rc<Node>, destination: Destination) {
     loop {
-        time::sleep(GATHER).await;
-        let waiting = node.outcomes.borrow_mut().waiting.insert(destination.clone(), Vec::new());
+        time::sleep(BATCH_INTERVAL).await;
+        let waiting =
+            node.pending_outcomes.borrow_mut().waiting.insert(destination.clone(), Vec::new());
         let outcomes = waiting.unwrap_or_default();
         if outcomes.is_empty() {
-            node.outcomes.borrow_mut().waiting.remove(&destination);
+            node.pending_outcomes.borrow_mut().waiting.remove(&destination);
             return;
         }
         let (address, epoch) = &destination;
--- a/lilacpass-node/src/signals.rs
+++ b/lilacpass-node/src/signals.rs
@@ -11,15 +11,15 @@
 
 use crate::node::Node;
 
-/// Kept back from the time that the platform gives to stop, for the last answers to get out.
+/// Kept back from the time that the platform gives to stop, for the deadline answers to get out.
 const GRACE_MARGIN: Duration = Duration::from_millis(900);
-/// How long a stopping instance stays for callers that have not noticed yet. The platform looks once
+/// How long a stopping instance stays for callers that have not noticed yet. The platform settings_checks once
 /// a second whether it is ready, and takes it out of rotation after two misses.
-const NOTICE: Duration = Duration::from_millis(2_600);
-/// Time between looks whether requests are still being served.
-const POLL: Duration = Duration::from_millis(50);
+const DRAIN_TIME: Duration = Duration::from_millis(2_600);
+/// Time between settings_checks whether requests are still being served.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between looks at the settings file. A look costs one system call; nothing of the settings is
+/// Time between settings_checks at the settings file. A look costs one system call; nothing of the settings is
 /// urgent.
 const SETTINGS_INTERVAL: Duration = Duration::from_secs(2);
 
@@ -33,17 +33,17 @@
                 return;
             }
         };
-    let mut written = settings::written_at();
-    let mut looks = time::interval(SETTINGS_INTERVAL);
-    looks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
+    let mut modified = settings::written_at();
+    let mut settings_checks = time::interval(SETTINGS_INTERVAL);
+    settings_checks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
             _ = hangup.recv() => reload(&node),
-            _ = looks.tick() => {
+            _ = settings_checks.tick() => {
                 let now = settings::written_at();
-                if now != written {
-                    written = now;
+                if now != modified {
+                    modified = now;
                     reload(&node);
                 }
             }
@@ -65,14 +65,14 @@
 async fn stop(node: &Node) {
     log::info!(leads = node.leads(); "asked to stop");
     node.leaving.send_replace(true);
-    if let Some(lead) = node.lead.borrow().as_ref() {
+    if let Some(lead) = node.leader_handle.borrow().as_ref() {
         lead.resign();
     }
     let start = Instant::now();
     let grace = Duration::from_millis(node.settings.bounds.grace_ms);
-    let last = start + grace.saturating_sub(GRACE_MARGIN);
-    time::sleep_until((start + NOTICE).min(last)).await;
-    while node.open_requests.get() > 0 && Instant::now() < last {
-        time::sleep(POLL).await;
+    let deadline = start + grace.saturating_sub(GRACE_MARGIN);
+    time::sleep_until((start + DRAIN_TIME).min(deadline)).await;
+    while node.open_requests.get() > 0 && Instant::now() < deadline {
+        time::sleep(DRAIN_POLL_INTERVAL).await;
     }
 }
--- a/lilacpass-node/src/takeover.rs
+++ b/lilacpass-node/src/takeover.rs
@@ -18,13 +18,13 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// How long calls of a take-over may go on failing, without an answer between, before it is given up.
 /// Meanwhile this instance does not notice that another has taken over.
-const PATIENCE: Duration = Duration::from_secs(2);
+const MAX_FAILURE_TIME: Duration = Duration::from_secs(2);
 /// Pause before a call that failed is made again.
-const RETRY: Duration = Duration::from_millis(60);
+const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
 /// What a take-over has won.
 #[derive(Debug)]
-pub struct Won {
+pub struct NewLeadership {
     /// The new epoch.
     pub epoch: u64,
     /// Number of the append that closed the log; those of the leader follow it. The first renewal in the
@@ -58,7 +58,7 @@
 /// All jobs as they were read, up to a place in the log.
 #[derive(Debug)]
 pub struct Snapshot {
-    state: State,
+    records: JobRecords,
     end: u64,
     start: Instant,
 }
@@ -67,36 +67,36 @@
 ///
 /// Changes nothing, so it goes on beside the announcement of a take-over: a slow store takes 0.7 s for that,
 /// and as long again for this.
-pub async fn read(node: &Rc<Node>) -> Option<Snapshot> {
+pub async fn read_snapshot(node: &Rc<Node>) -> Option<Snapshot> {
     let start = Instant::now();
-    let mut state = State::default();
-    let mut failures = Failures::new(start);
-    let end = read_all(node, &jobs_partition(), &mut state, &mut failures).await?;
-    Some(Snapshot { state, end, start })
+    let mut records = JobRecords::default();
+    let mut retries = RetryWindow::new(start);
+    let end = read_all(node, &jobs_partition(), &mut records, &mut retries).await?;
+    Some(Snapshot { records, end, start })
 }
 
 /// Tries to take over with what was read. None where another was faster or the store does not let us.
-pub async fn close(node: &Rc<Node>, snapshot: Snapshot) -> Option<Won> {
-    let Snapshot { mut state, mut end, start } = snapshot;
+pub async fn complete(node: &Rc<Node>, snapshot: Snapshot) -> Option<NewLeadership> {
+    let Snapshot { mut records, mut end, start } = snapshot;
     let partition = jobs_partition();
-    let sequence = first_sequence();
-    let mut failures = Failures::new(Instant::now());
+    let sequence = random_first_sequence();
+    let mut retries = RetryWindow::new(Instant::now());
     loop {
         // Offsets never go back, so an epoch made of the end is above all earlier ones.
         let epoch = end + 1;
         let writer = Writer { epoch, sequence };
-        match close_log(node, &partition, end, writer, &mut failures).await? {
+        match append_leader_record(node, &partition, end, writer, &mut retries).await? {
             Append::Stored { .. } => {
                 let took_ms = start.elapsed().as_millis() as u64;
-                let jobs = state.into_jobs();
+                let jobs = records.into_jobs();
                 log::info!(epoch, jobs = jobs.len(), took_ms; "took over");
-                return Some(Won { epoch, sequence, jobs });
+                return Some(NewLeadership { epoch, sequence, jobs });
             }
             Append::Elsewhere { .. } => {}
             Append::Fenced | Append::OutOfSequence => return None,
         }
-        end = read_tail(node, &partition, &mut state, end, &mut failures).await?;
-        if state.leader_since_start {
+        end = read_tail(node, &partition, &mut records, end, &mut retries).await?;
+        if records.other_leader_seen {
             log::info!("another instance took over first");
             return None;
         }
@@ -109,82 +109,86 @@
 /// same number too, the store would take the second for a repetition of the first and tell both
 /// that they had won: both would lead, and start each task twice. With unlike numbers the second
 /// is refused.
-fn first_sequence() -> u64 {
-    const MOST: u64 = 1 << 40;
-    rand::rng().random_range(0..MOST)
+fn random_first_sequence() -> u64 {
+    const MAX: u64 = 1 << 40;
+    rand::rng().random_range(0..MAX)
 }
 
 /// Appends the record after which the store refuses all of the former leader. Only if the partition
 /// still ends where we have read to, so that nothing of its records is missed.
-async fn close_log(
+async fn append_leader_record(
     node: &Rc<Node>,
     partition: &Partition,
     end: u64,
     writer: Writer,
-    failures: &mut Failures,
+    retries: &mut RetryWindow,
 ) -> Option<Append> {
     let condition = Condition { at: Some(end), writer: Some(writer) };
-    let records = store::encode_records(&[lead_record(node, writer.epoch, 0)]).ok()?;
+    let encoded = store::encode_records(&[lead_record(node, writer.epoch, 0)]).ok()?;
     loop {
-        match node.store.append(partition, condition, &records, CALL_TIMEOUT).await {
+        match node.store.append(partition, condition, &encoded, CALL_TIMEOUT).await {
             Ok(result) => {
-                failures.end();
+                retries.record_success();
                 return Some(result);
             }
-            Err(err) => failures.retry("take-over", &err).await?,
+            Err(err) => retries.wait_before_retry("take-over", &err).await?,
         }
     }
 }
 
-/// Calls that have failed since the last that was answered.
+/// Calls that have failed since the last that was last_response.
 ///
 /// Counted from the beginning of a take-over, a single refusal late in a long reading threw away all that was
 /// read. An instance with a thin link, which needs longer than the patience for it, never got to its end.
-struct Failures {
-    answered: Instant,
-    since: Option<Instant>,
+struct RetryWindow {
+    last_response: Instant,
+    failing_since: Option<Instant>,
 }
 
-impl Failures {
-    fn new(begun: Instant) -> Self {
-        Self { answered: begun, since: None }
+impl RetryWindow {
+    fn new(started: Instant) -> Self {
+        Self { last_response: started, failing_since: None }
     }
 
-    /// A call was answered.
-    fn end(&mut self) {
+    /// A call was last_response.
+    fn record_success(&mut self) {
         *self = Self::new(Instant::now());
     }
 
     /// A call has failed: waits before the next. None where they have been failing for too long.
-    async fn retry(&mut self, what: &str, err: &lilacpass_platform::Error) -> Option<()> {
+    async fn wait_before_retry(
+        &mut self,
+        what: &str,
+        err: &lilacpass_platform::Error,
+    ) -> Option<()> {
         log::info!(what, error:% = err; "store call of a take-over failed");
         let now = Instant::now();
         // Of a long answer that broke off, what arrived before counts for no failure.
-        let lately = now.checked_sub(CALL_TIMEOUT).unwrap_or(self.answered);
-        let since = *self.since.get_or_insert(lately.max(self.answered));
-        if now - since > PATIENCE {
+        let earliest = now.checked_sub(CALL_TIMEOUT).unwrap_or(self.last_response);
+        let failing_since = *self.failing_since.get_or_insert(earliest.max(self.last_response));
+        if now - failing_since > MAX_FAILURE_TIME {
             return None;
         }
-        time::sleep(RETRY).await;
+        time::sleep(RETRY_PAUSE).await;
         Some(())
     }
 }
 
 /// Records of jobs as they are read.
 #[derive(Debug, Default)]
-struct State {
+struct JobRecords {
     plans: HashMap<JobKey, (u64, Vec<u8>)>,
     states: HashMap<JobKey, (u64, Vec<u8>)>,
     reading_tail: bool,
-    leader_since_start: bool,
+    other_leader_seen: bool,
 }
 
-impl State {
+impl JobRecords {
     /// Keeps the newest record of each key.
-    fn take_in(&mut self, placed: Placed) {
+    fn insert(&mut self, placed: Placed) {
         let Placed { offset, record: read } = placed;
         if read.key == LEAD_KEY {
-            self.leader_since_start |= self.reading_tail;
+            self.other_leader_seen |= self.reading_tail;
             return;
         }
         let (map, key) = match record::parse_key(&read.key) {
@@ -222,25 +226,25 @@
 async fn read_all(
     node: &Rc<Node>,
     partition: &Partition,
-    state: &mut State,
-    failures: &mut Failures,
+    job_records: &mut JobRecords,
+    retries: &mut RetryWindow,
 ) -> Option<u64> {
-    let mut first_end = None;
+    let mut end = None;
     let mut after: Option<String> = None;
     loop {
         let page = match node.store.newest(partition, after.as_deref(), CALL_TIMEOUT).await {
             Ok(page) => page,
             Err(err) => {
-                failures.retry("read", &err).await?;
+                retries.wait_before_retry("read", &err).await?;
                 continue;
             }
         };
-        failures.end();
-        first_end = first_end.or(Some(page.end));
+        retries.record_success();
+        end = end.or(Some(page.end));
         after = page.records.last().map(|placed| placed.record.key.clone());
-        page.records.into_iter().for_each(|placed| state.take_in(placed));
+        page.records.into_iter().for_each(|placed| job_records.insert(placed));
         if !page.more || after.is_none() {
-            return first_end;
+            return end;
         }
     }
 }
@@ -249,25 +253,25 @@
 async fn read_tail(
     node: &Rc<Node>,
     partition: &Partition,
-    state: &mut State,
+    job_records: &mut JobRecords,
     from: u64,
-    failures: &mut Failures,
+    retries: &mut RetryWindow,
 ) -> Option<u64> {
-    state.reading_tail = true;
+    job_records.reading_tail = true;
     let mut next = from;
     loop {
         match node.store.read(partition, next, Duration::ZERO, CALL_TIMEOUT).await {
             Ok(Read::Records { records, end }) => {
-                failures.end();
+                retries.record_success();
                 let read = records.len() as u64;
-                records.into_iter().for_each(|placed| state.take_in(placed));
+                records.into_iter().for_each(|placed| job_records.insert(placed));
                 next += read;
                 if next >= end || read == 0 {
                     return Some(end);
                 }
             }
-            Ok(Read::Gone) => next = read_all(node, partition, state, failures).await?,
-            Err(err) => failures.retry("tail", &err).await?,
+            Ok(Read::Gone) => next = read_all(node, partition, job_records, retries).await?,
+            Err(err) => retries.wait_before_retry("tail", &err).await?,
         }
     }
 }
--- a/lilacpass-node/tests/append.rs
+++ b/lilacpass-node/tests/append.rs
@@ -57,7 +57,7 @@
         time::sleep(ANSWER).await;
         Ok(Append::Stored { end: 1 })
     };
-    assert_eq!(append::until_settled(send, ANSWER, Duration::ZERO).await, Ok(()));
+    assert_eq!(append::send_until_settled(send, ANSWER, Duration::ZERO).await, Ok(()));
     let late = begin.elapsed() - SILENT;
     assert!(late < Duration::from_millis(600), "stored {late:?} after the end of the outage");
 }
@@ -72,7 +72,7 @@
         time::sleep(ANSWER).await;
         Ok(Append::Stored { end: 1 })
     };
-    assert_eq!(append::until_settled(send, ANSWER, Duration::ZERO).await, Ok(()));
+    assert_eq!(append::send_until_settled(send, ANSWER, Duration::ZERO).await, Ok(()));
     assert_eq!(calls.get(), 1);
 }
 
@@ -92,5 +92,5 @@
             _ => Ok(Append::Stored { end: 1 }),
         }
     };
-    assert_eq!(append::until_settled(send, Duration::ZERO, Duration::ZERO).await, Ok(()));
+    assert_eq!(append::send_until_settled(send, Duration::ZERO, Duration::ZERO).await, Ok(()));
 }
--- a/lilacpass-node/tests/relay.rs
+++ b/lilacpass-node/tests/desired_relay.rs
@@ -26,10 +26,10 @@
 #[test]
 fn desired_states_fill_half_of_a_thin_link() {
     let pacing = Pacing::default();
-    assert_eq!(pacing.take(STATE, THIN, 1_000), None);
-    assert_eq!(pacing.take(STATE, THIN, 1_000), Some(1_280));
-    assert_eq!(pacing.take(STATE, THIN, 2_000), Some(280));
-    assert_eq!(pacing.take(STATE, THIN, 2_280), None);
+    assert_eq!(pacing.reserve(STATE, THIN, 1_000), None);
+    assert_eq!(pacing.reserve(STATE, THIN, 1_000), Some(1_280));
+    assert_eq!(pacing.reserve(STATE, THIN, 2_000), Some(280));
+    assert_eq!(pacing.reserve(STATE, THIN, 2_280), None);
 }
 
 /// A state was on its way from the store over a thin link, and the same was asked of another instance: both filled the
@@ -37,16 +37,16 @@
 #[test]
 fn others_are_not_asked_while_the_store_may_still_be_sending() {
     let thinnest = BytesPerSecond(250_000);
-    assert!(desired_relay::patience(STATE, thinnest) > thinnest.time_for(STATE));
+    assert!(desired_relay::store_wait(STATE, thinnest) > thinnest.time_for(STATE));
     let fast = BytesPerSecond(125_000_000);
-    assert!(desired_relay::patience(STATE, fast).as_millis() < 1_000);
+    assert!(desired_relay::store_wait(STATE, fast).as_millis() < 1_000);
 }
 
 #[test]
 fn a_link_of_which_nothing_is_known_is_not_spared() {
     let pacing = Pacing::default();
-    assert_eq!(pacing.take(STATE, BytesPerSecond(0), 1_000), None);
-    assert_eq!(pacing.take(STATE, BytesPerSecond(0), 1_000), None);
+    assert_eq!(pacing.reserve(STATE, BytesPerSecond(0), 1_000), None);
+    assert_eq!(pacing.reserve(STATE, BytesPerSecond(0), 1_000), None);
 }
 
 fn node() -> Rc<Node> {
@@ -76,12 +76,12 @@
         let asked = Rc::new(Cell::new(0));
         let peer = open_peer(asked.clone());
         let node = node();
-        node.note_desired_elsewhere(5, &peer);
+        node.record_desired_source(5, &peer);
         task::spawn_local(desired_relay::run(node.clone()));
         time::sleep(Duration::from_secs(4)).await;
         assert_eq!(asked.get(), 1);
         // A later one may be readable.
-        node.note_desired_elsewhere(6, &peer);
+        node.record_desired_source(6, &peer);
         time::sleep(Duration::from_secs(2)).await;
         assert_eq!(asked.get(), 2);
     });
--- a/lilacpass-node/tests/watch.rs
+++ b/lilacpass-node/tests/leader_wait.rs
@@ -25,7 +25,7 @@
         time::sleep(Duration::from_millis(100)).await;
         Ok(Read::Records { records: vec![lead()], end: 8 })
     };
-    assert_eq!(election::until_written(read, WATCH).await, [lead()]);
+    assert_eq!(election::wait_for_records(read, WATCH).await, [lead()]);
     assert_eq!(begin.elapsed(), Duration::from_millis(100));
 }
 
@@ -35,14 +35,14 @@
 async fn the_whole_time_is_waited_where_nothing_is_written() {
     let begin = Instant::now();
     let nothing = async { Ok(Read::Records { records: Vec::new(), end: 7 }) };
-    assert_eq!(election::until_written(nothing, WATCH).await, []);
+    assert_eq!(election::wait_for_records(nothing, WATCH).await, []);
     assert_eq!(begin.elapsed(), WATCH);
     let begin = Instant::now();
     let failed = async { Err(Error::Busy(503)) };
-    assert_eq!(election::until_written(failed, WATCH).await, []);
+    assert_eq!(election::wait_for_records(failed, WATCH).await, []);
     assert_eq!(begin.elapsed(), WATCH);
     let begin = Instant::now();
     let silent = std::future::pending::<Result<Read, Error>>();
-    assert_eq!(election::until_written(silent, WATCH).await, []);
+    assert_eq!(election::wait_for_records(silent, WATCH).await, []);
     assert_eq!(begin.elapsed(), WATCH);
 }
--- a/lilacpass-node/tests/members.rs
+++ b/lilacpass-node/tests/members.rs
@@ -2,9 +2,9 @@
 
 use lilacpass_node::members::{KnownMembers, Members, Peer};
 
-fn peer(heard_ms: u64) -> Peer {
+fn peer(last_heartbeat_ms: u64) -> Peer {
     Peer {
-        heard_ms,
+        last_heartbeat_ms,
         leaving: false,
         store_reachable: true,
         cpu_millis: 250,
@@ -19,14 +19,14 @@
 #[test]
 fn the_revision_changes_when_an_instance_comes_or_goes() {
     let mut members = Members::default();
-    members.greeted("a:1", peer(1_000));
+    members.record_heartbeat("a:1", peer(1_000));
     let with_one = members.revision();
-    members.greeted("a:1", peer(2_000));
+    members.record_heartbeat("a:1", peer(2_000));
     assert_eq!(members.revision(), with_one, "a greeting of a known one changes nothing");
-    members.greeted("b:1", peer(40_000));
+    members.record_heartbeat("b:1", peer(40_000));
     let with_two = members.revision();
     assert_ne!(with_two, with_one);
-    members.forget_gone(50_000);
+    members.remove_expired(50_000);
     assert_ne!(members.revision(), with_two);
     assert_eq!(members.addresses(), addresses(&["b:1"]));
 }
@@ -36,11 +36,11 @@
 #[test]
 fn a_list_that_was_left_out_is_kept() {
     let mut known = KnownMembers::default();
-    known.told(7, addresses(&["a:1", "b:1"]));
-    known.told(7, Vec::new());
+    known.update(7, addresses(&["a:1", "b:1"]));
+    known.update(7, Vec::new());
     assert_eq!(known.addresses, addresses(&["a:1", "b:1"]));
-    known.told(8, addresses(&["b:1"]));
+    known.update(8, addresses(&["b:1"]));
     assert_eq!(known.addresses, addresses(&["b:1"]));
-    known.told(0, addresses(&["c:1"]));
+    known.update(0, addresses(&["c:1"]));
     assert_eq!(known.addresses, addresses(&["c:1"]), "one that counts no revisions sends all");
 }
--- a/lilacpass-node/tests/orders.rs
+++ b/lilacpass-node/tests/orders.rs
@@ -35,7 +35,7 @@
         .start_paused(true)
         .build()
         .expect("a runtime");
-    let result = runtime.block_on(orders::twice(budget, send));
+    let result = runtime.block_on(orders::send_with_retry(budget, send));
     (result, sent.get())
 }
 
--- a/lilacpass-node/tests/registry_watch.rs
+++ b/lilacpass-node/tests/registry_watch.rs
@@ -5,7 +5,7 @@
 use lilacpass_core::Resources;
 use lilacpass_jobs::WorkerName;
 use lilacpass_lead::{Event, event::Record};
-use lilacpass_node::{node::Node, registered::Registered, registry_watch};
+use lilacpass_node::{node::Node, registered_workers::RegisteredWorkers, registry_watch};
 use lilacpass_platform::store::Placed;
 use lilacpass_platform_standin::{
     cell::{Cell, Shape},
@@ -27,12 +27,12 @@
 /// A worker goes on being given work after another writer has written over its entry.
 #[test]
 fn a_worker_whose_entry_can_not_be_read_any_more_is_not_used() {
-    let mut registered = Registered::default();
-    let events = registered.all(vec![placed("w-1", 1, GOOD), placed("w-2", 2, "{}")]);
+    let mut registered = RegisteredWorkers::default();
+    let events = registered.apply_full_read(vec![placed("w-1", 1, GOOD), placed("w-2", 2, "{}")]);
     assert_eq!(events.iter().filter(|event| is_listed(event, "w-1")).count(), 1);
-    let events = registered.all(vec![placed("w-1", 3, "{"), placed("w-2", 4, "{}")]);
+    let events = registered.apply_full_read(vec![placed("w-1", 3, "{"), placed("w-2", 4, "{}")]);
     assert_eq!(events, [Event::WorkerUnlisted(WorkerName::from("w-1"))]);
-    let events = registered.all(vec![placed("w-1", 5, GOOD)]);
+    let events = registered.apply_full_read(vec![placed("w-1", 5, GOOD)]);
     let listed = events.iter().filter(|event| is_listed(event, "w-1")).count();
     assert_eq!(listed, 1, "and used again once it can be read");
 }
@@ -40,21 +40,21 @@
 /// The same where the entry is written over between two looks at all of them.
 #[test]
 fn a_change_that_can_not_be_read_ends_the_use_of_a_worker() {
-    let mut registered = Registered::default();
-    registered.all(vec![placed("w-1", 1, GOOD)]);
-    let events = registered.changed(vec![placed("w-1", 2, "{")]);
+    let mut registered = RegisteredWorkers::default();
+    registered.apply_full_read(vec![placed("w-1", 1, GOOD)]);
+    let events = registered.apply_changes(vec![placed("w-1", 2, "{")]);
     assert_eq!(events, [Event::WorkerUnlisted(WorkerName::from("w-1"))]);
-    let events = registered.changed(vec![placed("w-1", 3, GOOD)]);
+    let events = registered.apply_changes(vec![placed("w-1", 3, GOOD)]);
     assert_eq!(events.iter().filter(|event| is_listed(event, "w-1")).count(), 1);
 }
 
 /// The leader spends its time on looking for work for workers that have only written that they live.
 #[test]
 fn an_entry_that_is_written_again_with_nothing_new_is_no_news() {
-    let mut registered = Registered::default();
-    registered.all(vec![placed("w-1", 1, GOOD)]);
-    assert_eq!(registered.changed(vec![placed("w-1", 2, GOOD), placed("w-1", 3, GOOD)]), []);
-    let events = registered.changed(vec![placed("w-1", 4, DRAINS)]);
+    let mut registered = RegisteredWorkers::default();
+    registered.apply_full_read(vec![placed("w-1", 1, GOOD)]);
+    assert_eq!(registered.apply_changes(vec![placed("w-1", 2, GOOD), placed("w-1", 3, GOOD)]), []);
+    let events = registered.apply_changes(vec![placed("w-1", 4, DRAINS)]);
     assert!(matches!(&events[..], [Event::WorkerListed(entry)] if entry.draining), "{events:?}");
 }
 
@@ -64,10 +64,10 @@
     let says = |cpu: u32| {
         GOOD.replace('}', &format!(r#", "capacity": {{"cpu": {cpu}, "memMb": 100, "gpu": 0}}}}"#))
     };
-    let mut registered = Registered::default();
-    registered.all(vec![placed("w-1", 1, &says(8_000))]);
+    let mut registered = RegisteredWorkers::default();
+    registered.apply_full_read(vec![placed("w-1", 1, &says(8_000))]);
     for (offset, cpu) in [(2, 2_000), (3, 8_000), (4, 0)] {
-        let events = registered.changed(vec![placed("w-1", offset, &says(cpu))]);
+        let events = registered.apply_changes(vec![placed("w-1", offset, &says(cpu))]);
         let room = Resources::new(u64::from(cpu), 100, 0, 0);
         assert!(
             matches!(&events[..], [Event::WorkerListed(entry)] if entry.capacity == room),
@@ -79,24 +79,27 @@
 /// A worker that has left goes on being counted, or one whose entry was away for a moment is given up.
 #[test]
 fn a_removed_worker_is_gone_once_a_look_at_all_confirms_it() {
-    let mut registered = Registered::default();
-    registered.all(vec![placed("w-1", 1, GOOD), placed("w-2", 2, GOOD)]);
-    assert_eq!(registered.changed(vec![placed("w-1", 3, ""), placed("w-2", 4, "")]), []);
-    assert!(registered.any_missing());
-    let events = registered.all(vec![placed("w-2", 5, GOOD)]);
+    let mut registered = RegisteredWorkers::default();
+    registered.apply_full_read(vec![placed("w-1", 1, GOOD), placed("w-2", 2, GOOD)]);
+    assert_eq!(registered.apply_changes(vec![placed("w-1", 3, ""), placed("w-2", 4, "")]), []);
+    assert!(registered.has_missing());
+    let events = registered.apply_full_read(vec![placed("w-2", 5, GOOD)]);
     assert!(events.contains(&Event::WorkerUnlisted(WorkerName::from("w-1"))), "{events:?}");
     assert!(events.iter().any(|event| is_listed(event, "w-2")), "{events:?}");
-    assert!(!registered.any_missing());
+    assert!(!registered.has_missing());
 }
 
 /// An entry that was removed without a record of it is missed by a look at all, and by the next.
 #[test]
 fn a_worker_that_vanishes_is_gone_after_two_looks_at_all() {
-    let mut registered = Registered::default();
-    registered.all(vec![placed("w-1", 1, GOOD)]);
-    assert_eq!(registered.all(Vec::new()), []);
-    assert!(registered.any_missing());
-    assert_eq!(registered.all(Vec::new()), [Event::WorkerUnlisted(WorkerName::from("w-1"))]);
+    let mut registered = RegisteredWorkers::default();
+    registered.apply_full_read(vec![placed("w-1", 1, GOOD)]);
+    assert_eq!(registered.apply_full_read(Vec::new()), []);
+    assert!(registered.has_missing());
+    assert_eq!(
+        registered.apply_full_read(Vec::new()),
+        [Event::WorkerUnlisted(WorkerName::from("w-1"))]
+    );
 }
 
 /// An instance with a link of 2 Mbit/s leads, and accepted work is lost on a calm day: renewals, looks and orders wait
--- a/lilacpass-node/tests/relay_messages.rs
+++ b/lilacpass-node/tests/relay_messages.rs
@@ -31,7 +31,7 @@
 
 #[test]
 fn outcomes_arrive_as_they_were() {
-    let looked = travel(relay_messages::look_outcome(4, Ok(answer())));
+    let looked = travel(relay_messages::poll_outcome(4, Ok(answer())));
     assert_eq!(looked.number, 4);
     assert_eq!(relay_messages::read_outcome(looked), Ok(Some(answer())));
     let refusals = [
@@ -49,21 +49,21 @@
         CallError::Failed(Verdict::MayHaveRun),
     ]);
     for error in errors {
-        let sent = travel(relay_messages::outcome(1, Err(error.clone())));
+        let sent = travel(relay_messages::order_outcome(1, Err(error.clone())));
         assert_eq!(relay_messages::read_outcome(sent), Err(error));
     }
-    let done = travel(relay_messages::outcome(1, Ok(())));
+    let done = travel(relay_messages::order_outcome(1, Ok(())));
     assert_eq!(relay_messages::read_outcome(done), Ok(None));
 }
 
 /// A task runs twice: a damaged answer left a run out, and the leader took it for gone.
 #[test]
 fn an_answer_with_a_row_that_names_no_run_is_none() {
-    let mut sent = relay_messages::look_outcome(4, Ok(answer()));
+    let mut sent = relay_messages::poll_outcome(4, Ok(answer()));
     sent.answer.as_mut().expect("an answer").running[0].run = None;
     let unanswered = Err(CallError::Failed(Verdict::MayHaveRun));
     assert_eq!(relay_messages::read_outcome(sent), unanswered);
-    let mut sent = relay_messages::look_outcome(4, Ok(answer()));
+    let mut sent = relay_messages::poll_outcome(4, Ok(answer()));
     sent.answer.as_mut().expect("an answer").ends[0].how = "finished".to_owned();
     assert_eq!(relay_messages::read_outcome(sent), unanswered);
 }
--- a/lilacpass-node/tests/relay_choice.rs
+++ b/lilacpass-node/tests/relay_selection.rs
@@ -1,11 +1,11 @@
 //! Which instances relay orders, by load.
 
-use lilacpass_node::relay_choice::{self, Candidate, Load, Means};
+use lilacpass_node::relay_selection::{self, Candidate, LeaderCapacity, Load};
 
 /// Half a core, and 200 Mbit/s.
-const LARGE: Means = Means { cpu_millis: 500, link: 25_000_000 };
+const LARGE: LeaderCapacity = LeaderCapacity { cpu_millis: 500, link: 25_000_000 };
 /// An eighth of a core, and 2 Mbit/s.
-const THIN: Means = Means { cpu_millis: 120, link: 250_000 };
+const THIN: LeaderCapacity = LeaderCapacity { cpu_millis: 120, link: 250_000 };
 
 fn candidate(
     address: &'static str,
@@ -25,9 +25,9 @@
     ]
 }
 
-fn choose(orders: f64, bytes: f64, means: Means, in_use: &[&str]) -> Vec<&'static str> {
+fn choose(orders: f64, bytes: f64, means: LeaderCapacity, in_use: &[&str]) -> Vec<&'static str> {
     let in_use: Vec<String> = in_use.iter().map(|&address| address.to_owned()).collect();
-    let chosen = relay_choice::choose(Load { orders, bytes }, means, &in_use, candidates());
+    let chosen = relay_selection::choose(Load { orders, bytes }, means, &in_use, candidates());
     chosen.into_iter().map(|candidate| candidate.address).collect()
 }
 
@@ -47,7 +47,7 @@
 #[test]
 fn a_leader_with_a_full_link_uses_relays() {
     assert!(!choose(200.0, 200_000.0, THIN, &[]).is_empty());
-    assert!(choose(200.0, 200_000.0, Means { link: 0, ..LARGE }, &[]).is_empty());
+    assert!(choose(200.0, 200_000.0, LeaderCapacity { link: 0, ..LARGE }, &[]).is_empty());
 }
 
 #[test]
@@ -61,7 +61,7 @@
     let mut chosen = choose(2_000.0, 1_000_000.0, LARGE, &["a:1", "b:2", "c:1"]);
     chosen.sort_unstable();
     assert_eq!(chosen, ["a:1", "b:2", "c:1"]);
-    let share = |orders| relay_choice::share(Load { orders, bytes: 0.0 }, LARGE);
+    let share = |orders| relay_selection::utilisation(Load { orders, bytes: 0.0 }, LARGE);
     let between = 1_300.0;
     assert!((0.1..0.2).contains(&share(between)), "{}", share(between));
     assert!(choose(between, 0.0, LARGE, &[]).is_empty());
--- a/lilacpass-node/tests/relay_state.rs
+++ b/lilacpass-node/tests/relay_state.rs
@@ -5,14 +5,14 @@
 use lilacpass_core::Verdict;
 use lilacpass_jobs::WorkerName;
 use lilacpass_node::{
-    relay_choice::{Candidate, Means},
     relay_messages,
-    relays::{Relayed, Relays},
+    relay_selection::{Candidate, LeaderCapacity},
+    relays::{RelayResult, Relays},
 };
 use lilacpass_platform::workers::Look;
 use tokio::sync::oneshot;
 
-const MEANS: Means = Means { cpu_millis: 500, link: 0 };
+const MEANS: LeaderCapacity = LeaderCapacity { cpu_millis: 500, link: 0 };
 const LOOK: Look = Look { lease_until_ms: None, forget_upto: 0, wait_ms: 800, answer_ms: 400 };
 /// Time between reviews.
 const REVIEW_MS: u64 = 200;
@@ -40,26 +40,26 @@
     }
 
     fn review(&mut self, candidates: Vec<Candidate<'static>>) {
-        (0..600).for_each(|_| self.relays.count(0));
+        (0..600).for_each(|_| self.relays.count_order(0));
         self.now_ms += REVIEW_MS;
         self.relays.review(MEANS, candidates, self.now_ms);
     }
 
     fn home(&mut self, worker: &str, data_centre: &str) -> Option<String> {
-        let home = self.relays.home(&WorkerName::from(worker), data_centre);
+        let home = self.relays.relay_for(&WorkerName::from(worker), data_centre);
         home.map(|address| address.to_string())
     }
 
-    fn look(&mut self, address: &str) -> (u64, oneshot::Receiver<Relayed>) {
-        let order = relay_messages::look("w", "10.0.0.1:80", LOOK);
-        self.relays.put(&Rc::from(address), order).expect("a relay")
+    fn look(&mut self, address: &str) -> (u64, oneshot::Receiver<RelayResult>) {
+        let order = relay_messages::poll("w", "10.0.0.1:80", LOOK);
+        self.relays.enqueue(&Rc::from(address), order).expect("a relay")
     }
 }
 
-fn lost(mut receiver: oneshot::Receiver<Relayed>) -> Option<Verdict> {
+fn lost(mut receiver: oneshot::Receiver<RelayResult>) -> Option<Verdict> {
     match receiver.try_recv() {
-        Ok(Relayed::Lost(verdict)) => Some(verdict),
-        Ok(Relayed::Outcome(_)) | Err(_) => None,
+        Ok(RelayResult::Lost(verdict)) => Some(verdict),
+        Ok(RelayResult::Outcome(_)) | Err(_) => None,
     }
 }
 
@@ -78,7 +78,7 @@
     let mut play = Play::new(both);
     let (number, sent) = play.look("a:1");
     let (_, earlier) = play.look("a:1");
-    assert_eq!(play.relays.take_queue("a:1").map(|orders| orders.len()), Some(2));
+    assert_eq!(play.relays.take_batch("a:1").map(|orders| orders.len()), Some(2));
     let (_, unsent) = play.look("a:1");
     assert_eq!(play.home("w-1", "a").as_deref(), Some("a:1"));
     play.relays.fail("a:1", &[number], Verdict::NotRun, play.now_ms);
@@ -95,14 +95,18 @@
 fn a_relay_that_leaves_may_still_tell_of_its_last_orders() {
     let mut play = Play::new(both);
     let (number, mut sent) = play.look("a:1");
-    play.relays.take_queue("a:1").expect("an order");
+    play.relays.take_batch("a:1").expect("an order");
     let (_, unsent) = play.look("a:1");
     play.review(vec![candidate("b:1", "b")]);
     assert_eq!(play.home("w-1", "a").as_deref(), Some("b:1"));
     assert_eq!(lost(unsent), Some(Verdict::NotRun));
-    assert_eq!(play.relays.settle(vec![relay_messages::outcome(number, Ok(()))]), 0);
-    assert!(matches!(sent.try_recv(), Ok(Relayed::Outcome(Ok(None)))));
-    assert_eq!(play.relays.settle(vec![relay_messages::outcome(number, Ok(()))]), 1, "told twice");
+    assert_eq!(play.relays.handle_outcomes(vec![relay_messages::order_outcome(number, Ok(()))]), 0);
+    assert!(matches!(sent.try_recv(), Ok(RelayResult::Outcome(Ok(None)))));
+    assert_eq!(
+        play.relays.handle_outcomes(vec![relay_messages::order_outcome(number, Ok(()))]),
+        1,
+        "told twice"
+    );
 }
 
 /// A relay takes all orders, and what it tells never arrives. Each look by way of it takes over a second, for good.
@@ -113,7 +117,7 @@
     for _ in 0..2 {
         for _ in 0..4 {
             let (number, _) = play.look("a:1");
-            play.relays.give_up(number);
+            play.relays.record_timeout(number);
         }
         play.review(both());
         let began_ms = play.now_ms;
@@ -133,9 +137,9 @@
     let mut play = Play::new(both);
     for number in 0..4 {
         let worker = WorkerName::from(format!("w-{number}").as_str());
-        let home = play.relays.home(&worker, "a").expect("a relay");
-        play.relays.doubt(&worker, &home);
-        play.relays.looked(&worker, true);
+        let home = play.relays.relay_for(&worker, "a").expect("a relay");
+        play.relays.suspect_worker(&worker, &home);
+        play.relays.record_direct_poll(&worker, true);
     }
     play.review(both());
     assert_eq!(play.home("w-1", "a").as_deref(), Some("b:1"));
--- a/lilacpass-node/tests/thin_store.rs
+++ b/lilacpass-node/tests/thin_store.rs
@@ -141,7 +141,7 @@
 fn a_refusal_late_in_a_long_reading_does_not_begin_it_anew() {
     play(async {
         let node = node(&open_paged_store(4, |call| call == 4));
-        assert!(takeover::read(&node).await.is_some());
+        assert!(takeover::read_snapshot(&node).await.is_some());
     });
 }
 
@@ -151,7 +151,7 @@
     play(async {
         let node = node(&open_paged_store(4, |call| call >= 3));
         let begin = Instant::now();
-        assert!(takeover::read(&node).await.is_none());
+        assert!(takeover::read_snapshot(&node).await.is_none());
         assert!(begin.elapsed() < Duration::from_secs(6), "took {:?}", begin.elapsed());
     });
 }
