--- a/lilacpass-node/src/leader_loop.rs
+++ b/lilacpass-node/src/leader_loop.rs
@@ -285,7 +285,7 @@
             } => {
                 let look = PollOrder {
                     lease_until_ms,
-                    forget_up_to: forget_upto: forget_up_to,
+                    forget_up_to,
                     wait_ms,
                     response_timeout_ms: answer_ms,
                 };
