--- a/lilacpass-lead/src/ahead.rs
+++ b/lilacpass-lead/src/ahead.rs
@@ -108,7 +108,7 @@
     ) -> Vec<Offer> {
         let advice = self.advice.get(&name);
         let verdict =
-            |worker: &Worker| advice.and_then(|advice| advice.verdict(&worker.entry.name));
+            |worker: &Worker| advice.and_then(|advice| advice.verdict(&worker.registration.name));
         self.workers
             .values()
             .filter(|worker| {
@@ -118,7 +118,7 @@
             .filter_map(|worker| {
                 let wait_ms = self.wait_for_room_ms(worker, plan, rank, now)?;
                 let is_unknown = verdict(worker).is_none();
-                Some(Offer { is_unknown, wait_ms, worker: worker.entry.name.clone() })
+                Some(Offer { is_unknown, wait_ms, worker: worker.registration.name.clone() })
             })
             .collect()
     }
@@ -133,7 +133,7 @@
         now: Now,
     ) -> Option<u64> {
         let need = place::need(plan);
-        let kept = self.reservations.kept_from(rank, &worker.entry.name);
+        let kept = self.reservations.kept_from(rank, &worker.registration.name);
         let mut ends: Vec<(u64, Resources)> = worker
             .runs
             .iter()
@@ -142,7 +142,7 @@
                 let estimate_ms = u64::from(running.estimate_ms);
                 let left_ms = given
                     .progress
-                    .and_then(|seen| seen.left_ms(now.steady_ms))
+                    .and_then(|seen| seen.estimated_remaining_ms(now.steady_ms))
                     .unwrap_or(estimate_ms);
                 (!running.lasting).then_some((left_ms, given.need))
             })
@@ -151,7 +151,7 @@
         let mut freed = Resources::ZERO;
         let mut wait_ms = 0;
         let mut ends = ends.into_iter();
-        while !need.fits(&worker.room_after(&freed).minus(&kept)) {
+        while !need.fits(&worker.free_capacity_after(&freed).minus(&kept)) {
             let (left_ms, need) = ends.next()?;
             wait_ms = left_ms;
             freed = freed.plus(&need);
--- a/lilacpass-lead/src/asking.rs
+++ b/lilacpass-lead/src/asking.rs
@@ -67,14 +67,14 @@
         if !self.lanes.may_call(&entry.job.queue.name, policy.base_ms as u64) {
             return;
         }
-        let waiting = entry.job.task_names(name).filter(|t| entry.wants_run(*t)).count() as u64;
+        let waiting = entry.job.task_names(name).filter(|t| entry.needs_run(*t)).count() as u64;
         if waiting == 0 {
             return;
         }
-        self.work.tries += 1;
+        self.work.steps_examined += 1;
         self.choose_home(name, &plan, now);
         let Some(entry) = self.jobs.get(&name.job) else { return };
-        let share = self.good_shares.get(&entry.job.queue.name).copied();
+        let share = self.allowed_shares.get(&entry.job.queue.name).copied();
         let wanted = Wanted {
             waiting,
             tasks: ((waiting as f64 * ASK_MARGIN) as u64).max(FEWEST_WANTED),
@@ -96,7 +96,7 @@
         let expected_ms = (policy.base_ms + policy.per_worker_ms * workers.len() as f64) as u64;
         let Some(lane) = self.lanes.take(&entry.job.queue.name, expected_ms) else { return };
         self.advice.entry(name).or_default().asking = true;
-        self.askers.remove(name);
+        self.advice_queue.remove(name);
         log::info!(
             step:% = name, waiting, workers = workers.len(), candidates = candidates.len(),
             expected_ms, lane = lane.0.as_str();
@@ -112,14 +112,14 @@
             Some((entry.job.queue.name.as_str(), policy.base_ms as u64))
         });
         let (Some((queue, base_ms)), Some(rank)) = (policy, self.waiting.rank_of(step)) else {
-            return self.askers.remove(step);
+            return self.advice_queue.remove(step);
         };
         match self.advice.get(&step) {
-            Some(advice) if advice.asking => self.askers.remove(step),
+            Some(advice) if advice.asking => self.advice_queue.remove(step),
             Some(advice) if now.steady_ms < advice.ask_from_ms => {
-                self.askers.pause(step, advice.ask_from_ms);
+                self.advice_queue.pause(step, advice.ask_from_ms);
             }
-            Some(_) | None => self.askers.open(rank, queue, base_ms),
+            Some(_) | None => self.advice_queue.open(rank, queue, base_ms),
         }
     }
 
@@ -141,16 +141,16 @@
         let advice = self.advice.get(&name);
         let asked: HashSet<&WorkerName> = asked.iter().collect();
         let is_unknown = |worker: &&Worker| {
-            worker.listed
+            worker.registered
                 && !worker.draining
-                && need.fits(&worker.entry.capacity)
+                && need.fits(&worker.registration.capacity)
                 && place::is_eligible(worker, &entry.job.queue.service, plan)
-                && advice.is_none_or(|advice| advice.verdict(&worker.entry.name).is_none())
-                && !asked.contains(&worker.entry.name)
+                && advice.is_none_or(|advice| advice.verdict(&worker.registration.name).is_none())
+                && !asked.contains(&worker.registration.name)
         };
         let most = most.min(MOST_ASKED.saturating_sub(asked.len()));
         let unknown = self.workers.values().filter(is_unknown).take(most);
-        unknown.map(|worker| worker.entry.name.clone()).collect()
+        unknown.map(|worker| worker.registration.name.clone()).collect()
     }
 
     pub(crate) fn on_advised(
@@ -167,8 +167,10 @@
         log::info!(step:% = step, asked = asked.len(), good:? = good; "advice answered");
         if let Some(answer) = &answer {
             let share = answer.good.len() as f64 / asked.len().max(1) as f64;
-            let learned =
-                self.good_shares.entry(entry.job.queue.name.clone()).or_insert(GOOD_SHARE_AT_FIRST);
+            let learned = self
+                .allowed_shares
+                .entry(entry.job.queue.name.clone())
+                .or_insert(GOOD_SHARE_AT_FIRST);
             *learned += (share - *learned) * GOOD_SHARE_WEIGHT;
         }
         let margin_ms = self.options.ticket_margin_ms;
@@ -180,10 +182,10 @@
         }
         if self.reservations.workers_of(step).iter().any(is_bad) {
             for worker in self.reservations.release(step) {
-                self.news.free(&worker);
+                self.pending_changes.free(&worker);
             }
         }
-        self.news.change(step);
+        self.pending_changes.change(step);
         self.review_asker(step, now);
     }
 }
--- a/lilacpass-lead/src/asks.rs
+++ b/lilacpass-lead/src/asks.rs
@@ -5,8 +5,8 @@
 
 use crate::{
     event::{Answer, Ask, Effect, JobState, Now, Token},
-    leader::{Entry, Leader},
-    outbox::After,
+    leader::{JobEntry, Leader},
+    outbox::OnStored,
     place,
     worker::Worker,
 };
@@ -45,10 +45,10 @@
             if !same {
                 return self.reply(token, Answer::Conflict);
             }
-            if entry.stored {
+            if entry.is_plan_stored {
                 return self.reply(token, Answer::Done);
             }
-            return self.outbox.then(After::Accept(token, key));
+            return self.outbox.when_stored(OnStored::Accept(token, key));
         }
         if let Err(err) = plan::check(&plan) {
             return self.reply(token, Answer::Invalid(err.to_string()));
@@ -70,16 +70,16 @@
         let record =
             v1::PlanRecord { plan: Some(plan), queue: Some(queue), accepted_ms: now.unix_ms };
         let job = Job::new(key, record);
-        self.jobs.insert(key, Entry::new(job, false));
-        self.outbox.waiting.plans.insert(key);
-        self.outbox.then(After::Accept(token, key));
+        self.jobs.insert(key, JobEntry::new(job, false));
+        self.outbox.pending.plans.insert(key);
+        self.outbox.when_stored(OnStored::Accept(token, key));
         self.reindex(key, now);
     }
 
     /// A job is stored: its caller may be told.
     pub(crate) fn accept(&mut self, token: Token, key: JobKey) {
         if let Some(entry) = self.jobs.get_mut(&key) {
-            entry.stored = true;
+            entry.is_plan_stored = true;
         }
         self.reply(token, Answer::Done);
     }
@@ -96,10 +96,10 @@
     /// A leader that may have been replaced refuses none: its successor may have taken the job from an earlier
     /// try of the caller, and a caller who is refused believes that the job never runs.
     fn refuses_new_jobs(&mut self, now: Now) -> Option<u32> {
-        if !self.is_sure(now) {
+        if !self.is_leadership_certain(now) {
             return None;
         }
-        self.pressure.refuses(self.news.unseen(), now)
+        self.pressure.refuses(self.pending_changes.unseen(), now)
     }
 
     /// Refuses a job that nothing was done of.
@@ -112,7 +112,7 @@
     /// Whether the store has taken nothing for so long that new jobs are refused.
     fn store_takes_nothing(&self, now: Now) -> bool {
         let options = &self.options;
-        let patience_ms = if self.outbox.is_refused() {
+        let patience_ms = if self.outbox.was_refused() {
             options.store_patience_ms
         } else {
             options.store_silence_ms
@@ -126,7 +126,7 @@
         if !self.store_takes_nothing(now) {
             return;
         }
-        for (token, key) in self.outbox.take_back_jobs() {
+        for (token, key) in self.outbox.withdraw_unstored_jobs() {
             self.withdraw(key, now);
             self.refuse_for_store(token, key, now);
         }
@@ -138,20 +138,20 @@
         entry.job.cancel(now.unix_ms);
         self.stop_job(key, now);
         self.reindex(key, now);
-        self.forget_steps(key);
+        self.release_steps(key);
         self.jobs.remove(&key);
-        self.outbox.waiting.states.remove(&key);
+        self.outbox.pending.states.remove(&key);
     }
 
     /// Why no worker of the queue's service could ever run a step. Says nothing while no worker is
     /// known. One that has less room just now may have more again.
     fn impossible(&self, plan: &v1::WorkPlan, queue: &v1::QueuePolicy) -> Option<String> {
-        let is_there = |w: &&Worker| w.listed && w.entry.service == queue.service;
+        let is_there = |w: &&Worker| w.registered && w.registration.service == queue.service;
         let workers = self.workers.values().filter(is_there);
         workers.clone().next()?;
         let number = plan.steps.iter().position(|step| {
             let need = place::need(step);
-            !workers.clone().any(|worker| need.fits(&worker.most_capacity))
+            !workers.clone().any(|worker| need.fits(&worker.max_capacity))
         })?;
         Some(format!("step {number}: no worker is large enough for its tasks"))
     }
@@ -160,7 +160,7 @@
         let Some(entry) = self.jobs.get(&key) else {
             return self.tell_unknown(token, now);
         };
-        let state = match entry.shown {
+        let state = match entry.visible_outcome {
             Outcome::Completed => JobState::Completed,
             Outcome::Failed => JobState::Failed,
             Outcome::Cancelled => JobState::Cancelled,
@@ -173,7 +173,7 @@
     /// Says that a job is unknown, but only as the sure leader: a former one does not know the jobs
     /// of its successor, and a caller who is told so believes that the job is lost.
     fn tell_unknown(&mut self, token: Token, now: Now) {
-        if self.is_sure(now) {
+        if self.is_leadership_certain(now) {
             return self.reply(token, Answer::UnknownJob);
         }
         self.refuse_unsure(token, now);
@@ -192,18 +192,18 @@
         let changed = entry.job.cancel(now.unix_ms);
         if changed {
             log::info!(job:% = key; "job cancelled");
-            self.job_ended(key, now);
+            self.on_job_ended(key, now);
         }
-        self.outbox.then(After::Reply(token, Answer::Done));
+        self.outbox.when_stored(OnStored::Reply(token, Answer::Done));
     }
 
     fn tell_pending(&mut self, token: Token, queue: &str, now: Now) {
-        if !self.is_sure(now) {
+        if !self.is_leadership_certain(now) {
             return self.refuse_unsure(token, now);
         }
-        let waits = |entry: &&Entry| {
+        let waits = |entry: &&JobEntry| {
             entry.job.queue.name == queue
-                && entry.stored
+                && entry.is_plan_stored
                 && !entry.job.begun
                 && entry.job.outcome == Outcome::Open
         };
--- a/lilacpass-lead/src/candidates.rs
+++ b/lilacpass-lead/src/candidates.rs
@@ -10,7 +10,7 @@
     advice::{Candidate, StepAdvice},
     asking::MOST_ASKED,
     event::Now,
-    leader::{Entry, Leader},
+    leader::{JobEntry, Leader},
     place,
     rank::{self, Rank},
     worker::Worker,
@@ -63,7 +63,7 @@
 struct Search<'a> {
     name: StepName,
     plan: &'a v1::WorkStep,
-    entry: &'a Entry,
+    entry: &'a JobEntry,
     advice: Option<&'a StepAdvice>,
     need: Resources,
     rank: Rank,
@@ -105,7 +105,8 @@
 
     fn with_room(&self, search: &Search<'_>, wanted: &Wanted, now: Now) -> Vec<Rated<'_>> {
         let service = &search.entry.job.queue.service;
-        let few = self.rooms.with_room(service, &search.need, self.workers.len() / MANY_IN);
+        let few =
+            self.capacity_index.with_room(service, &search.need, self.workers.len() / MANY_IN);
         if let Some(few) = few {
             let few = few.into_iter().filter_map(|name| self.workers.get(name));
             return best(self.rate_all(search, few, now));
@@ -130,11 +131,11 @@
     ) -> Option<Vec<Rated<'_>>> {
         let allowed = search.advice.into_iter().flat_map(StepAdvice::allowed);
         let mut allowed: Vec<&Worker> = allowed.filter_map(|name| self.workers.get(name)).collect();
-        allowed.sort_unstable_by_key(|worker| &worker.entry.name);
+        allowed.sort_unstable_by_key(|worker| &worker.registration.name);
         let mut rated = best(self.rate_all(search, allowed.into_iter(), now));
-        let home = search.entry.home_of(search.plan);
+        let home = search.entry.home_for(search.plan);
         let need = if search.preempting { Resources::ZERO } else { search.need };
-        let names = self.rooms.preferred(&search.entry.job.queue.service, home, need);
+        let names = self.capacity_index.preferred(&search.entry.job.queue.service, home, need);
         let mut others = names
             .take(MOST_TRIED)
             .filter(|name| search.verdict(name).is_none())
@@ -158,14 +159,15 @@
     fn rate<'a>(&self, search: &Search<'_>, worker: &'a Worker, now: Now) -> Option<Rated<'a>> {
         let Search { name, plan, entry, advice, need, rank, waiting, preempting } = search;
         // What is cheap to tell comes first: in a full cell each waiting step goes through many workers.
-        let most_room = if *preempting { worker.entry.capacity } else { worker.room() };
+        let most_room =
+            if *preempting { worker.registration.capacity } else { worker.free_capacity() };
         let could_start = need.fits(&most_room)
-            && worker.takes_starts(now.steady_ms)
+            && worker.accepts_starts(now.steady_ms)
             && place::is_eligible(worker, &entry.job.queue.service, plan);
         if !could_start {
             return None;
         }
-        let worker_name = &worker.entry.name;
+        let worker_name = &worker.registration.name;
         let verdict = search.verdict(worker_name);
         let holds_ticket = advice.is_some_and(|a| a.ticket(worker_name, now.steady_ms).is_some());
         if verdict == Some(false) || holds_ticket {
@@ -178,7 +180,7 @@
         };
         let most = (*waiting).min(self.may_take(worker, *name, plan));
         let fits = place::fits(&room, need, most);
-        let score = place::Score::new(worker, plan, entry.home_of(plan));
+        let score = place::Score::new(worker, plan, entry.home_for(plan));
         let known_good = verdict == Some(true);
         (fits > 0).then_some(Rated { known_good, score, worker: worker_name, fits })
     }
--- a/lilacpass-lead/src/tally.rs
+++ b/lilacpass-lead/src/counters.rs
@@ -4,44 +4,44 @@
 
 /// How a worker was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Loss {
+pub enum WorkerLoss {
     /// Its life ended, and it had not said that it leaves.
     Crashed,
     /// It drained and left.
     Left,
     /// It was silent until the leases there had run out; it may live.
-    Lapsed,
+    LeasesExpired,
 }
 
-impl Loss {
+impl WorkerLoss {
     /// All ways.
-    pub const ALL: [Self; 3] = [Self::Crashed, Self::Left, Self::Lapsed];
+    pub const ALL: [Self; 3] = [Self::Crashed, Self::Left, Self::LeasesExpired];
 
     /// The name in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Crashed => "crashed",
             Self::Left => "left",
-            Self::Lapsed => "lapsed",
+            Self::LeasesExpired => "lapsed",
         }
     }
 }
 
 /// Counts since they were last read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
-    lost: [u64; Loss::ALL.len()],
+pub struct Counters {
+    lost: [u64; WorkerLoss::ALL.len()],
     failed: [u64; Cause::ALL.len()],
 }
 
-impl Tally {
+impl Counters {
     /// A worker was lost.
-    pub fn lost(&mut self, how: Loss) {
+    pub fn count_lost_worker(&mut self, how: WorkerLoss) {
         self.lost[how as usize] += 1;
     }
 
     /// A job has failed.
-    pub fn failed(&mut self, cause: Cause) {
+    pub fn count_failed_job(&mut self, cause: Cause) {
         self.failed[cause as usize] += 1;
     }
 
@@ -51,7 +51,7 @@
     }
 
     /// Workers lost in a way.
-    pub fn workers_lost(&self, how: Loss) -> u64 {
+    pub fn workers_lost(&self, how: WorkerLoss) -> u64 {
         self.lost[how as usize]
     }
 }
--- a/lilacpass-lead/src/suspicion.rs
+++ b/lilacpass-lead/src/crash_suspicion.rs
@@ -14,8 +14,8 @@
 use crate::{
     event::Now,
     leader::Leader,
-    silences::Silence,
-    worker::{Given, Phase, RunKey, Worker},
+    outages::Outage,
+    worker::{AssignedRun, Phase, RunKey, Worker},
 };
 
 /// Other workers that fall silent together with one, with no suspect there, after which nothing that ran
@@ -36,9 +36,9 @@
         let loss = self.circumstances(worker, now);
         let suspects = self.suspects(worker);
         let is_known = suspects.iter().any(|suspect| self.was_suspected(suspect));
-        let suspicion = |key: &RunKey, given: &Given| {
+        let suspicion = |key: &RunKey, given: &AssignedRun| {
             let is_suspect =
-                worker.is_suspect(given) && suspects.contains(&self.starts_with(key.0));
+                worker.is_suspect(given) && suspects.contains(&self.starting_unit(key.0));
             let has_started = given.started_ms.is_some();
             let is_only = is_suspect && suspects.len() == 1 && has_started;
             match loss {
@@ -60,7 +60,7 @@
     fn suspects(&self, worker: &Worker) -> BTreeSet<StepOrTask> {
         let suspects = worker.runs.iter().filter(|(_, given)| worker.is_suspect(given));
         let suspects: BTreeSet<StepOrTask> =
-            suspects.map(|((task, _), _)| self.starts_with(*task)).collect();
+            suspects.map(|((task, _), _)| self.starting_unit(*task)).collect();
         let known: BTreeSet<StepOrTask> =
             suspects.iter().copied().filter(|suspect| self.was_suspected(suspect)).collect();
         if known.is_empty() { suspects } else { known }
@@ -73,13 +73,13 @@
 
     /// What else was lost together with a worker.
     fn circumstances(&self, worker: &Worker, now: Now) -> Circumstances {
-        let since_ms = worker.silent_since_ms.unwrap_or(now.steady_ms);
-        let unheard_ms = since_ms.saturating_sub(worker.heard_ms);
-        let together: Vec<&Silence> =
-            self.silences.together_with(&worker.entry.name, since_ms).collect();
-        let uncaused = together.iter().filter(|other| other.is_uncaused).count();
+        let since_ms = worker.unresponsive_since_ms.unwrap_or(now.steady_ms);
+        let unheard_ms = since_ms.saturating_sub(worker.last_response_ms);
+        let together: Vec<&Outage> =
+            self.outages.concurrent_with(&worker.registration.name, since_ms).collect();
+        let uncaused = together.iter().filter(|other| other.has_no_suspect).count();
         let stood_still =
-            self.stood_still_ms.is_some_and(|ms| since_ms.abs_diff(ms) < MOST_UNHEARD_MS);
+            self.last_stall_ms.is_some_and(|ms| since_ms.abs_diff(ms) < MOST_UNHEARD_MS);
         let is_shared = together.len() >= FEWEST_TOGETHER || self.is_rack_lost(worker, &together);
         let is_unseen = stood_still || unheard_ms > MOST_UNHEARD_MS;
         let many = if stood_still { FEWEST_TOGETHER } else { FEWEST_UNSEEN };
@@ -95,7 +95,7 @@
     }
 
     /// Whether half of a worker's rack fell silent together with it.
-    fn is_rack_lost(&self, worker: &Worker, together: &[&Silence]) -> bool {
+    fn is_rack_lost(&self, worker: &Worker, together: &[&Outage]) -> bool {
         let rack = worker.rack();
         let silent = together.iter().filter(|other| !rack.is_empty() && other.rack == rack).count();
         let of_rack = || self.workers.values().filter(|other| other.rack() == rack).count();
@@ -103,7 +103,7 @@
     }
 
     /// What starts together with a task: its gang, or itself alone.
-    fn starts_with(&self, task: TaskName) -> StepOrTask {
+    fn starting_unit(&self, task: TaskName) -> StepOrTask {
         let entry = self.jobs.get(&task.step.job);
         let is_gang = entry.is_some_and(|entry| entry.job.step_plan(task.step.step).gang);
         (task.step, if is_gang { None } else { Some(task.index) })
--- a/lilacpass-lead/src/health.rs
+++ b/lilacpass-lead/src/health.rs
@@ -23,19 +23,19 @@
 
 /// What speaks against a worker.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Record {
+pub struct WorkerHealth {
     /// Jobs that have failed or stood still there since the last end as done.
-    pub bad_jobs: BTreeSet<JobKey>,
+    pub failed_jobs: BTreeSet<JobKey>,
     /// It gets nothing before this time, on the steady clock.
     pub quarantined_until_ms: u64,
     /// Times that it was quarantined since the last end as done.
     quarantines: u32,
 }
 
-impl Record {
+impl WorkerHealth {
     /// Whether nothing speaks against it.
     pub fn is_clean(&self) -> bool {
-        self.bad_jobs.is_empty() && self.quarantines == 0
+        self.failed_jobs.is_empty() && self.quarantines == 0
     }
 
     /// Whether it gets nothing now.
@@ -44,15 +44,15 @@
     }
 
     /// Work was done there.
-    pub fn done(&mut self) {
+    pub fn record_success(&mut self) {
         *self = Self { quarantined_until_ms: self.quarantined_until_ms, ..Self::default() };
     }
 
     /// A job failed there. `speaks` tells of a job whether its failure speaks against the worker.
     /// Returns whether the worker is to get no work for a while.
-    pub fn failed(&mut self, job: JobKey, speaks: impl Fn(JobKey) -> bool) -> bool {
-        self.bad_jobs.insert(job);
-        let against = self.bad_jobs.iter().filter(|&&job| speaks(job)).count();
+    pub fn record_failure(&mut self, job: JobKey, speaks: impl Fn(JobKey) -> bool) -> bool {
+        self.failed_jobs.insert(job);
+        let against = self.failed_jobs.iter().filter(|&&job| speaks(job)).count();
         // One that has just been let back must do better than before.
         let enough = if self.quarantines > 0 { 1 } else { BAD_JOBS };
         against >= enough
@@ -63,6 +63,6 @@
         let pause_ms = QUARANTINE_MS << self.quarantines.min(MOST_DOUBLINGS);
         self.quarantined_until_ms = now_ms + pause_ms;
         self.quarantines += 1;
-        self.bad_jobs.clear();
+        self.failed_jobs.clear();
     }
 }
--- a/lilacpass-lead/src/inspect.rs
+++ b/lilacpass-lead/src/inspect.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     event::Now,
-    leader::{Entry, Leader},
+    leader::{JobEntry, Leader},
     place,
     worker::Phase,
 };
@@ -92,7 +92,7 @@
         let mut status = Status {
             waiting_steps: self.waiting.len() as u64,
             store_stuck_ms: self.store_stuck_ms(now),
-            confirmed_ago_ms: now.steady_ms.saturating_sub(self.confirmed_ms),
+            confirmed_ago_ms: now.steady_ms.saturating_sub(self.leadership_confirmed_ms),
             ..Status::default()
         };
         for entry in self.jobs.values().filter(|entry| entry.job.outcome == Outcome::Open) {
@@ -108,12 +108,12 @@
                 *status.runs.entry(phase_name(given.phase)).or_default() += 1;
             }
             status.workers.push(WorkerStatus {
-                name: worker.entry.name.to_string(),
-                data_centre: worker.entry.data_centre.clone(),
+                name: worker.registration.name.to_string(),
+                data_centre: worker.registration.data_centre.clone(),
                 runs: worker.runs.len() as u64,
                 used_cpu_milli: worker.used.cpu.0,
-                cpu_milli: worker.entry.capacity.cpu.0,
-                held_back: worker.held_back(now.steady_ms),
+                cpu_milli: worker.registration.capacity.cpu.0,
+                held_back: worker.held_back_reason(now.steady_ms),
             });
         }
         status
@@ -134,7 +134,7 @@
         })
     }
 
-    fn explain_step(&self, entry: &Entry, name: StepName, now: Now) -> StepExplanation {
+    fn explain_step(&self, entry: &JobEntry, name: StepName, now: Now) -> StepExplanation {
         let mut explanation = StepExplanation {
             step: name.to_string(),
             done: 0,
@@ -171,7 +171,7 @@
         explanation
     }
 
-    fn waits_for(&self, entry: &Entry, name: StepName, now: Now) -> String {
+    fn waits_for(&self, entry: &JobEntry, name: StepName, now: Now) -> String {
         if entry.job.outcome != Outcome::Open {
             return "nothing: the job has ended".to_owned();
         }
@@ -185,8 +185,8 @@
             .values()
             .filter(|worker| place::is_eligible(worker, &entry.job.queue.service, plan))
             .collect();
-        let usable = eligible.iter().filter(|worker| worker.takes_starts(now.steady_ms));
-        let roomy = usable.clone().filter(|worker| need.fits(&worker.room())).count();
+        let usable = eligible.iter().filter(|worker| worker.accepts_starts(now.steady_ms));
+        let roomy = usable.clone().filter(|worker| need.fits(&worker.free_capacity())).count();
         let advice = self.advice.get(&name);
         let counts = format!(
             "{} workers of its service, {} take starts, {roomy} have room",
--- a/lilacpass-lead/src/leader.rs
+++ b/lilacpass-lead/src/leader.rs
@@ -13,79 +13,79 @@
 use crate::{
     advice::{Lanes, StepAdvice},
     askers::Askers,
+    counters::Counters,
     event::{Effect, Event, Now, Registration},
-    loss::LossMeter,
     news::News,
     options::{self, Mechanism, Options},
+    outages::RecentOutages,
     outbox::Outbox,
     place,
     pressure::Pressure,
     reserve::Reservations,
+    response_loss::ResponseLossMeter,
     rooms::Rooms,
-    silences::Silences,
-    tally::Tally,
     turn::Turn,
     waiting::Waiting,
-    worker::{Look, Phase, Worker},
+    worker::{Phase, PollState, Worker},
 };
 
 /// A job and what is stored and shown of it.
 #[derive(Debug)]
-pub struct Entry {
+pub struct JobEntry {
     /// The job.
     pub job: Job,
     /// Its plan is stored: its caller may be told.
-    pub stored: bool,
+    pub is_plan_stored: bool,
     /// The outcome that callers are shown: one that is stored.
-    pub shown: Outcome,
+    pub visible_outcome: Outcome,
     /// Workers on which its tasks failed or stood still since one of them was done, and when they last did, on the
     /// steady clock.
     pub failed_on: BTreeMap<WorkerName, u64>,
     /// Tasks of which a copy is to run, because the run that they have may be lost.
-    pub copies: BTreeSet<TaskName>,
+    pub wanted_copies: BTreeSet<TaskName>,
     /// How often each task was stopped for more urgent work.
-    pub preempted: BTreeMap<TaskName, u32>,
+    pub preemptions: BTreeMap<TaskName, u32>,
     /// Addresses of workers that crashed under its tasks.
-    pub crashed_at: BTreeSet<String>,
+    pub crashed_addresses: BTreeSet<String>,
     /// The data centre in which its tasks are to run, once one was chosen.
-    pub home: Option<String>,
+    pub home_data_centre: Option<String>,
 }
 
-impl Entry {
+impl JobEntry {
     /// An entry for a job; `stored` tells whether its plan is.
     pub fn new(job: Job, stored: bool) -> Self {
         Self {
-            shown: job.outcome,
-            stored,
+            visible_outcome: job.outcome,
+            is_plan_stored: stored,
             job,
             failed_on: BTreeMap::new(),
-            copies: BTreeSet::new(),
-            preempted: BTreeMap::new(),
-            crashed_at: BTreeSet::new(),
-            home: None,
+            wanted_copies: BTreeSet::new(),
+            preemptions: BTreeMap::new(),
+            crashed_addresses: BTreeSet::new(),
+            home_data_centre: None,
         }
     }
 
     /// The data centre in which tasks of a step are to run; none where they are spread or it is open.
-    pub fn home_of(&self, step: &v1::WorkStep) -> Option<&str> {
-        self.home.as_deref().filter(|_| !step.lasting)
+    pub fn home_for(&self, step: &v1::WorkStep) -> Option<&str> {
+        self.home_data_centre.as_deref().filter(|_| !step.lasting)
     }
 
     /// Whether tasks of the job keep off a worker for a moment, since one has just failed there.
     ///
     /// Without this a task whose few allowed workers spoil their work goes through all its attempts there within half a
     /// second, and its job fails, while workers that nobody has asked about stand idle.
-    pub fn keeps_off(&self, worker: &WorkerName, now_ms: u64) -> bool {
+    pub fn avoids(&self, worker: &WorkerName, now_ms: u64) -> bool {
         /// Longer than a call for advice about other workers takes.
         const KEEP_OFF_MS: u64 = 700;
         self.failed_on.get(worker).is_some_and(|failed_ms| now_ms < failed_ms + KEEP_OFF_MS)
     }
 
     /// Whether a task may be given a run now: it has none, or is to have a copy.
-    pub fn wants_run(&self, name: TaskName) -> bool {
+    pub fn needs_run(&self, name: TaskName) -> bool {
         self.job.task(name).is_some_and(|task| {
             // Of a task that crashes its workers a copy takes one more.
-            let may_have_copy = || self.copies.contains(&name) && task.crashes.known == 0;
+            let may_have_copy = || self.wanted_copies.contains(&name) && task.crashes.known == 0;
             task.is_waiting() || !task.done && task.runs.len() == 1 && may_have_copy()
         })
     }
@@ -93,63 +93,63 @@
 
 /// What deciding has taken since the leader began. What takes its time is looking at steps.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Work {
+pub struct SchedulingWork {
     /// Steps that were looked at for room, or for workers to ask about.
-    pub tries: u64,
+    pub steps_examined: u64,
 }
 
 /// The leader of a cell.
 #[derive(Debug)]
 pub struct Leader {
     pub(crate) options: Options,
-    pub(crate) jobs: HashMap<JobKey, Entry>,
+    pub(crate) jobs: HashMap<JobKey, JobEntry>,
     pub(crate) workers: BTreeMap<WorkerName, Worker>,
-    pub(crate) rooms: Rooms,
+    pub(crate) capacity_index: Rooms,
     pub(crate) outbox: Outbox,
     pub(crate) advice: HashMap<StepName, StepAdvice>,
     pub(crate) lanes: Lanes,
     pub(crate) waiting: Waiting,
-    pub(crate) askers: Askers,
+    pub(crate) advice_queue: Askers,
     /// The steps that are allowed on each worker, as far as advice has told.
     pub(crate) allowed_steps: HashMap<WorkerName, BTreeSet<StepName>>,
     pub(crate) reservations: Reservations,
     /// Steps for which room was looked for by preemption in this round.
-    pub(crate) tries_for_room: u32,
-    pub(crate) work: Work,
-    pub(crate) turn: Turn,
+    pub(crate) preemption_searches: u32,
+    pub(crate) work: SchedulingWork,
+    pub(crate) scan: Turn,
     pub(crate) pressure: Pressure,
-    pub(crate) news: News,
-    pub(crate) loss: LossMeter,
-    pub(crate) silences: Silences,
+    pub(crate) pending_changes: News,
+    pub(crate) response_loss: ResponseLossMeter,
+    pub(crate) outages: RecentOutages,
     /// The worker that was last to register anew at each address.
-    pub(crate) by_address: HashMap<String, WorkerName>,
+    pub(crate) latest_by_address: HashMap<String, WorkerName>,
     /// Workers that were taken for gone unseen, with the tasks under which they were counted as crashed.
-    pub(crate) taken_for_gone: HashMap<WorkerName, Vec<TaskName>>,
+    pub(crate) presumed_gone: HashMap<WorkerName, Vec<TaskName>>,
     /// Open jobs under which workers have crashed.
-    pub(crate) struck: BTreeSet<JobKey>,
-    pub(crate) tally: Tally,
+    pub(crate) crash_affected_jobs: BTreeSet<JobKey>,
+    pub(crate) counters: Counters,
     /// Workers at which no look is under way: hardly any. Going through all workers at each event, and
     /// putting all in order for each call for advice, took 17 of 60 % of a core at 3,000 of them.
-    pub(crate) looks_due: BTreeSet<WorkerName>,
+    pub(crate) unpolled_workers: BTreeSet<WorkerName>,
     /// The lowest priority (its greatest number) of an open job, as of the last review.
-    pub(crate) least_urgent: u32,
+    pub(crate) least_urgent_priority: u32,
     /// Registered workers of each service, as of the last review.
     pub(crate) pool_sizes: HashMap<String, usize>,
     /// Occurrences whose time has not come, by time of day.
-    pub(crate) due: BTreeSet<(u64, JobKey)>,
+    pub(crate) upcoming_occurrences: BTreeSet<(u64, JobKey)>,
     /// Share of workers that are allowed, learned per queue.
-    pub(crate) good_shares: HashMap<String, f64>,
+    pub(crate) allowed_shares: HashMap<String, f64>,
     pub(crate) effects: Vec<Effect>,
     /// Start of the last call by which the store confirmed that we lead.
-    pub(crate) confirmed_ms: u64,
+    pub(crate) leadership_confirmed_ms: u64,
     pub(crate) append_sent_ms: u64,
     /// Until when a former leader's leases may last at a worker that we can't reach.
-    inherited_until_ms: u64,
+    inherited_leases_expire_by_ms: u64,
     next_cleanup_ms: u64,
     next_review_ms: u64,
     last_tick_ms: u64,
     /// When it last went on after it had stood still, on the steady clock.
-    pub(crate) stood_still_ms: Option<u64>,
+    pub(crate) last_stall_ms: Option<u64>,
 }
 
 /// Time between two ticks that shows a leader to be late itself. Ticks come each 0.05 s.
@@ -171,38 +171,38 @@
             options,
             jobs: HashMap::new(),
             workers: BTreeMap::new(),
-            rooms: Rooms::default(),
+            capacity_index: Rooms::default(),
             outbox: Outbox::default(),
             advice: HashMap::new(),
             lanes: Lanes::default(),
             waiting: Waiting::default(),
-            askers: Askers::default(),
+            advice_queue: Askers::default(),
             allowed_steps: HashMap::new(),
             reservations: Reservations::default(),
-            tries_for_room: 0,
-            work: Work::default(),
-            turn: Turn::default(),
+            preemption_searches: 0,
+            work: SchedulingWork::default(),
+            scan: Turn::default(),
             pressure: Pressure::new(now),
-            news: News::default(),
-            loss: LossMeter::default(),
-            silences: Silences::default(),
-            by_address: HashMap::new(),
-            taken_for_gone: HashMap::new(),
-            struck: BTreeSet::new(),
-            tally: Tally::default(),
-            looks_due: BTreeSet::new(),
-            least_urgent: 0,
+            pending_changes: News::default(),
+            response_loss: ResponseLossMeter::default(),
+            outages: RecentOutages::default(),
+            latest_by_address: HashMap::new(),
+            presumed_gone: HashMap::new(),
+            crash_affected_jobs: BTreeSet::new(),
+            counters: Counters::default(),
+            unpolled_workers: BTreeSet::new(),
+            least_urgent_priority: 0,
             pool_sizes: HashMap::new(),
-            due: BTreeSet::new(),
-            good_shares: HashMap::new(),
+            upcoming_occurrences: BTreeSet::new(),
+            allowed_shares: HashMap::new(),
             effects: Vec::new(),
-            confirmed_ms: now.steady_ms,
+            leadership_confirmed_ms: now.steady_ms,
             append_sent_ms: now.steady_ms,
-            inherited_until_ms,
+            inherited_leases_expire_by_ms: inherited_until_ms,
             next_cleanup_ms: now.steady_ms + CLEANUP_INTERVAL_MS,
             next_review_ms: now.steady_ms,
             last_tick_ms: now.steady_ms,
-            stood_still_ms: None,
+            last_stall_ms: None,
         };
         for job in jobs {
             leader.inherit(job, now);
@@ -216,22 +216,22 @@
         let key = job.key;
         for (task, run) in job.live_runs() {
             let need = place::need(job.step_plan(task.step.step));
-            let until_ms = self.inherited_until_ms;
+            let until_ms = self.inherited_leases_expire_by_ms;
             let worker = self
                 .workers
                 .entry(run.worker.clone())
-                .or_insert_with(|| Worker::unlisted(&run, until_ms));
-            self.looks_due.insert(run.worker.clone());
-            worker.give((task, run.number), need, Phase::Uncertain { since_ms: now.steady_ms });
+                .or_insert_with(|| Worker::from_run_record(&run, until_ms));
+            self.unpolled_workers.insert(run.worker.clone());
+            worker.assign((task, run.number), need, Phase::Uncertain { since_ms: now.steady_ms });
             if job.is_suspected(task) {
-                worker.go_on_with_trial((task, run.number));
+                worker.resume_trial((task, run.number));
             }
-            self.rooms.note(worker);
+            self.capacity_index.note(worker);
         }
         if job.outcome == Outcome::Open && job.is_struck() {
-            self.struck.insert(key);
+            self.crash_affected_jobs.insert(key);
         }
-        self.jobs.insert(key, Entry::new(job, true));
+        self.jobs.insert(key, JobEntry::new(job, true));
         self.reindex(key, now);
         let ended = self.jobs.get(&key).is_some_and(|entry| entry.job.outcome != Outcome::Open);
         if ended {
@@ -245,12 +245,14 @@
             Event::Asked { token, ask } => self.on_asked(token, ask, now),
             Event::Appended => self.on_appended(now),
             Event::NotAppended => {
-                self.outbox.refused(now.steady_ms);
+                self.outbox.append_refused(now.steady_ms);
                 self.refuse_stuck_jobs(now);
             }
-            Event::Confirmed { sent_ms } => self.confirmed_ms = self.confirmed_ms.max(sent_ms),
+            Event::Confirmed { sent_ms } => {
+                self.leadership_confirmed_ms = self.leadership_confirmed_ms.max(sent_ms)
+            }
             Event::Looked { worker, sent_ms, extra, result } => {
-                self.on_looked(&worker, sent_ms, extra, result, now);
+                self.on_polled(&worker, sent_ms, extra, result, now);
             }
             Event::Started { worker, task, run, result } => {
                 self.on_started(&worker, task, run, result, now);
@@ -271,39 +273,39 @@
 
     /// Decides what follows from all events so far, and returns what is to be done.
     pub fn finish(&mut self, now: Now) -> Vec<Effect> {
-        self.plan_looks(now);
+        self.send_due_polls(now);
         self.schedule(now);
         self.flush(now);
         mem::take(&mut self.effects)
     }
 
     /// The data centre of a worker that answered the last look; none for one that did not, or is not known.
-    pub fn answering_worker(&self, name: &WorkerName) -> Option<&str> {
-        let worker = self.workers.get(name).filter(|worker| worker.failed_looks == 0)?;
-        Some(&worker.entry.data_centre)
+    pub fn responsive_worker_data_centre(&self, name: &WorkerName) -> Option<&str> {
+        let worker = self.workers.get(name).filter(|worker| worker.failed_polls == 0)?;
+        Some(&worker.registration.data_centre)
     }
 
     /// What has happened since this was last called.
-    pub fn take_tally(&mut self) -> Tally {
-        mem::take(&mut self.tally)
+    pub fn take_counters(&mut self) -> Counters {
+        mem::take(&mut self.counters)
     }
 
     /// What deciding has taken so far.
-    pub fn work(&self) -> Work {
+    pub fn work(&self) -> SchedulingWork {
         self.work
     }
 
     /// Whether the store confirmed so lately that we lead that no other can have taken over.
-    pub fn is_sure(&self, now: Now) -> bool {
+    pub fn is_leadership_certain(&self, now: Now) -> bool {
         /// Below the shortest time in which another takes over from a leader that still runs.
         const SURE_MS: u64 = 900;
-        now.steady_ms.saturating_sub(self.confirmed_ms) < SURE_MS
+        now.steady_ms.saturating_sub(self.leadership_confirmed_ms) < SURE_MS
     }
 
     /// Whether leases may be extended: only so long after the last confirmation, because a
     /// successor that can't reach a worker waits just this long before it starts its work again.
-    pub(crate) fn may_extend(&self, now: Now) -> bool {
-        now.steady_ms.saturating_sub(self.confirmed_ms) < self.options.outlive_ms
+    pub(crate) fn may_extend_leases(&self, now: Now) -> bool {
+        now.steady_ms.saturating_sub(self.leadership_confirmed_ms) < self.options.outlive_ms
     }
 
     /// How long the store has owed the answer to an append.
@@ -312,53 +314,53 @@
     }
 
     fn on_listed(&mut self, entry: Registration) {
-        self.lives_after_all(&entry.name);
-        self.note_address(&entry);
-        let until_ms = self.inherited_until_ms;
+        self.retract_presumed_crashes(&entry.name);
+        self.track_address(&entry);
+        let until_ms = self.inherited_leases_expire_by_ms;
         let worker = self
             .workers
             .entry(entry.name.clone())
             .or_insert_with(|| Worker::new(entry.clone(), until_ms));
-        worker.listed = true;
+        worker.registered = true;
         worker.draining |= entry.draining;
-        self.news.free(&entry.name);
-        if worker.look != Look::UnderWay {
-            self.looks_due.insert(entry.name.clone());
+        self.pending_changes.free(&entry.name);
+        if worker.poll != PollState::InFlight {
+            self.unpolled_workers.insert(entry.name.clone());
         }
-        worker.most_capacity = worker.most_capacity.max(&entry.capacity);
-        worker.entry = entry;
-        self.rooms.note(worker);
+        worker.max_capacity = worker.max_capacity.max(&entry.capacity);
+        worker.registration = entry;
+        self.capacity_index.note(worker);
     }
 
     fn on_unlisted(&mut self, name: &WorkerName) {
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.listed = false;
-            self.rooms.note(worker);
+            worker.registered = false;
+            self.capacity_index.note(worker);
         }
     }
 
     fn on_tick(&mut self, now: Now) {
         if now.steady_ms > self.last_tick_ms + LATE_TICK_MS {
-            self.loss.forget();
+            self.response_loss.clear();
         }
         if now.steady_ms > self.last_tick_ms + STOOD_STILL_MS {
-            self.stood_still_ms = Some(now.steady_ms);
+            self.last_stall_ms = Some(now.steady_ms);
         }
         self.last_tick_ms = now.steady_ms;
-        self.note_pressure(now);
-        while let Some(&(due_ms, key)) = self.due.first() {
+        self.update_pressure(now);
+        while let Some(&(due_ms, key)) = self.upcoming_occurrences.first() {
             if due_ms > now.unix_ms {
                 break;
             }
-            self.due.pop_first();
+            self.upcoming_occurrences.pop_first();
             self.reindex(key, now);
         }
-        self.lapse_silent_workers(now);
-        self.repeat_stops(now);
+        self.expire_unresponsive_workers(now);
+        self.retry_stops(now);
         if now.steady_ms >= self.next_review_ms {
             self.next_review_ms = now.steady_ms + REVIEW_INTERVAL_MS;
             if self.options.uses(Mechanism::Replacement) {
-                self.replace_lost_runs(now);
+                self.replace_stuck_runs(now);
             }
             self.review_pools();
         }
@@ -370,13 +372,15 @@
     }
 
     /// Judges whether the leader keeps up.
-    fn note_pressure(&mut self, now: Now) {
-        let turn_ms = self.turn.lasts_ms(now);
-        let Some(level) = self.pressure.tick(turn_ms, self.work.tries, now) else { return };
+    fn update_pressure(&mut self, now: Now) {
+        let turn_ms = self.scan.lasts_ms(now);
+        let Some(level) = self.pressure.tick(turn_ms, self.work.steps_examined, now) else {
+            return;
+        };
         log::info!(
             leader = level.as_str(), behind_ms = self.pressure.behind_ms(),
             tries_a_round = self.pressure.tries_a_round(), waiting = self.waiting.len(),
-            unseen = self.news.unseen();
+            unseen = self.pending_changes.unseen();
             "pressure changes"
         );
     }
@@ -389,13 +393,13 @@
     /// Counts the workers of each service, and finds the least urgent work.
     fn review_pools(&mut self) {
         let open = self.jobs.values().filter(|entry| entry.job.outcome == Outcome::Open);
-        self.least_urgent = open.map(|entry| entry.job.queue.priority).max().unwrap_or(0);
+        self.least_urgent_priority = open.map(|entry| entry.job.queue.priority).max().unwrap_or(0);
         self.pool_sizes.clear();
-        for worker in self.workers.values().filter(|worker| worker.listed) {
-            match self.pool_sizes.get_mut(&worker.entry.service) {
+        for worker in self.workers.values().filter(|worker| worker.registered) {
+            match self.pool_sizes.get_mut(&worker.registration.service) {
                 Some(size) => *size += 1,
                 None => {
-                    self.pool_sizes.insert(worker.entry.service.clone(), 1);
+                    self.pool_sizes.insert(worker.registration.service.clone(), 1);
                 }
             }
         }
@@ -414,7 +418,7 @@
             .jobs
             .values()
             .filter(|entry| {
-                entry.shown != Outcome::Open
+                entry.visible_outcome != Outcome::Open
                     && entry.job.ended_ms + retention_ms < now.unix_ms
                     && entry.job.live_runs().is_empty()
             })
@@ -422,12 +426,12 @@
             .collect();
         for key in old {
             // Advice that was answered after the end.
-            self.forget_steps(key);
+            self.release_steps(key);
             self.jobs.remove(&key);
-            self.outbox.waiting.drops.insert(key);
+            self.outbox.pending.deletions.insert(key);
         }
         let jobs = &self.jobs;
-        self.taken_for_gone
+        self.presumed_gone
             .retain(|_, tasks| tasks.iter().any(|task| jobs.contains_key(&task.step.job)));
     }
 }
--- a/lilacpass-lead/src/starts.rs
+++ b/lilacpass-lead/src/orders.rs
@@ -10,12 +10,12 @@
     event::{CallError, Effect, Now, Refusal},
     leader::Leader,
     progress,
-    worker::{Given, Phase, RunKey, Worker},
+    worker::{AssignedRun, Phase, RunKey, Worker},
 };
 
 impl Leader {
     /// Orders a run that is recorded.
-    pub(crate) fn order(&mut self, name: &WorkerName, task: TaskName, run: u32, now: Now) {
+    pub(crate) fn send_start(&mut self, name: &WorkerName, task: TaskName, run: u32, now: Now) {
         let key = (task, run);
         let recorded = self.workers.get(name).and_then(|worker| worker.runs.get(&key));
         if recorded.map(|given| given.phase) != Some(Phase::Recording) {
@@ -31,19 +31,19 @@
             .and_then(|advice| advice.ticket(name, now.steady_ms))
             .map(str::to_owned);
         let lease_ms = self.options.lease_ms;
-        let may_extend = self.may_extend(now);
+        let may_extend = self.may_extend_leases(now);
         let Some(worker) = self.workers.get_mut(name) else { return };
-        let startable = may_extend && worker.commanded && !worker.draining;
-        let has_room = worker.used.fits(&worker.entry.capacity);
+        let startable = may_extend && worker.accepted_epoch && !worker.draining;
+        let has_room = worker.used.fits(&worker.registration.capacity);
         if !startable || !has_room || needs_ticket && ticket.is_none() {
             log::info!(task:% = task, run, worker:% = name, startable, has_room; "order not sent");
-            return self.void_run(name, key, now);
+            return self.end_never_started(name, key, now);
         }
         let Some(lease_until_ms) = worker.extend_lease(lease_ms, now.steady_ms) else {
-            return self.void_run(name, key, now);
+            return self.end_never_started(name, key, now);
         };
         worker.set_phase(key, Phase::Ordered);
-        let address = worker.entry.address.clone();
+        let address = worker.registration.address.clone();
         self.effects.push(Effect::Start {
             worker: name.clone(),
             address,
@@ -67,32 +67,32 @@
         let key = (task, run);
         let avoid_ms = self.options.avoid_ms;
         if result.is_ok() {
-            self.note_begun(task.step.job);
+            self.record_job_begun(task.step.job);
         }
         let Some(worker) = self.workers.get_mut(name) else { return };
         let Some(given) = worker.runs.get(&key).copied() else { return };
         match result {
             Ok(()) => {
-                worker.heard_ms = now.steady_ms;
+                worker.last_response_ms = now.steady_ms;
                 if given.phase == Phase::Ordered {
                     worker.set_phase(key, Phase::Running { since_ms: now.steady_ms });
                 }
                 self.review_trial(name);
             }
-            Err(CallError::OtherLife) => self.life_over(name, now),
+            Err(CallError::OtherLife) => self.end_incarnation(name, now),
             Err(CallError::Failed(Verdict::NotRun)) => {
-                worker.avoid(now.steady_ms, avoid_ms);
+                worker.pause_starts(now.steady_ms, avoid_ms);
                 log::info!(task:% = task, run, worker:% = name; "start did not reach its worker");
-                self.void_run(name, key, now);
+                self.end_never_started(name, key, now);
             }
             Err(CallError::Failed(Verdict::MayHaveRun | Verdict::Ran)) => {
-                worker.avoid(now.steady_ms, avoid_ms);
+                worker.pause_starts(now.steady_ms, avoid_ms);
                 log::info!(task:% = task, run, worker:% = name; "start got no answer");
                 if given.phase == Phase::Ordered {
                     worker.set_phase(key, Phase::Uncertain { since_ms: now.steady_ms });
                 }
                 self.suspect_data_centre(name, now);
-                self.look_now(name);
+                self.send_extra_poll(name);
             }
             Err(CallError::Refused(refusal)) => {
                 log::info!(task:% = task, run, worker:% = name, refusal:? = refusal; "start refused");
@@ -105,10 +105,10 @@
                     }
                     Refusal::Old => {}
                     Refusal::Room | Refusal::Late | Refusal::Unhealthy | Refusal::Malformed => {
-                        worker.avoid(now.steady_ms, avoid_ms);
+                        worker.pause_starts(now.steady_ms, avoid_ms);
                     }
                 }
-                self.void_run(name, key, now);
+                self.end_never_started(name, key, now);
             }
         }
     }
@@ -127,31 +127,32 @@
         /// One silent worker tells nothing of its data centre.
         const FEWEST_SILENT: usize = 2;
         let Some(worker) = self.workers.get(name) else { return };
-        let data_centre = worker.entry.data_centre.clone();
+        let data_centre = worker.registration.data_centre.clone();
         let avoid_ms = self.options.avoid_ms;
-        let is_near = |worker: &Worker| worker.entry.data_centre == data_centre;
-        let is_silent =
-            |worker: &Worker| worker.failed_looks > 0 || now.steady_ms < worker.avoid_until_ms;
+        let is_near = |worker: &Worker| worker.registration.data_centre == data_centre;
+        let is_silent = |worker: &Worker| {
+            worker.failed_polls > 0 || now.steady_ms < worker.starts_paused_until_ms
+        };
         let near: Vec<&Worker> = self.workers.values().filter(|worker| is_near(worker)).collect();
         let silent = near.iter().filter(|worker| is_silent(worker)).count();
-        let heard_ms = near.iter().map(|worker| worker.heard_ms).max().unwrap_or(0);
+        let heard_ms = near.iter().map(|worker| worker.last_response_ms).max().unwrap_or(0);
         if silent < FEWEST_SILENT || heard_ms + QUIET_MS > now.steady_ms {
             return;
         }
         let suspects: Vec<WorkerName> = self
             .workers
             .values_mut()
-            .filter(|worker| is_near(worker) && worker.takes_starts(now.steady_ms))
+            .filter(|worker| is_near(worker) && worker.accepts_starts(now.steady_ms))
             .map(|worker| {
                 worker.suspected_until_ms = now.steady_ms + avoid_ms;
-                worker.entry.name.clone()
+                worker.registration.name.clone()
             })
             .collect();
         if suspects.is_empty() {
             return;
         }
         log::info!(data_centre = data_centre.as_str(), workers = suspects.len(); "data centre is suspected");
-        suspects.iter().for_each(|name| self.look_now(name));
+        suspects.iter().for_each(|name| self.send_extra_poll(name));
     }
 
     /// Has a run stopped. A run that has not been ordered is dropped at once.
@@ -159,7 +160,7 @@
         let Some(worker) = self.workers.get_mut(name) else { return };
         let Some(given) = worker.runs.get(&key).copied() else { return };
         match given.phase {
-            Phase::Recording => self.void_run(name, key, now),
+            Phase::Recording => self.end_never_started(name, key, now),
             Phase::Stopping { .. } => {}
             Phase::Ordered | Phase::Uncertain { .. } | Phase::Running { .. } => {
                 let sent_ms = now.steady_ms;
@@ -171,10 +172,10 @@
 
     fn send_stop(&mut self, name: &WorkerName, key: RunKey) {
         let Some(worker) = self.workers.get(name) else { return };
-        if worker.entry.address.is_empty() {
+        if worker.registration.address.is_empty() {
             return;
         }
-        let address = worker.entry.address.clone();
+        let address = worker.registration.address.clone();
         let (task, run) = key;
         self.effects.push(Effect::Stop { worker: name.clone(), address, task, run });
     }
@@ -197,7 +198,7 @@
                     worker.set_phase(key, Phase::Stopping { sent_ms, confirmed_ms });
                 }
             }
-            Err(CallError::OtherLife) => self.life_over(name, now),
+            Err(CallError::OtherLife) => self.end_incarnation(name, now),
             Err(CallError::Refused(Refusal::Fence)) => self.effects.push(Effect::Deposed),
             Err(err) => {
                 log::debug!(task:% = task, run, worker:% = name, error:? = err; "stop failed");
@@ -207,11 +208,11 @@
 
     /// Replaces runs that stand still, are on a worker that is far too slow, or on one that does not
     /// answer: by a copy where the step allows it, else by a new run once the old one is stopped.
-    pub(crate) fn replace_lost_runs(&mut self, now: Now) {
-        let times = times_as_long(&self.totals());
+    pub(crate) fn replace_stuck_runs(&mut self, now: Now) {
+        let times = times_as_long(&self.run_time_estimates());
         let mut lost = Vec::new();
         for (name, worker) in &self.workers {
-            let silent = worker.failed_looks > 0;
+            let silent = worker.failed_polls > 0;
             let times = times.get(name).map(Vec::as_slice).unwrap_or_default();
             let slow = !silent && progress::is_slow_worker(times);
             for (key, given) in &worker.runs {
@@ -236,14 +237,14 @@
     }
 
     /// Whether a copy may run beside a run that its worker may have.
-    fn may_have_copy(&self, key: RunKey, given: &Given) -> bool {
+    fn may_have_copy(&self, key: RunKey, given: &AssignedRun) -> bool {
         let given_out = matches!(given.phase, Phase::Running { .. } | Phase::Uncertain { .. });
         let entry = self.jobs.get(&key.0.step.job);
         given_out && entry.is_some_and(|entry| entry.job.step_plan(key.0.step.step).speculative)
     }
 
     /// The plan of a run that may be replaced: one whose work shows in its progress.
-    fn replaceable(&self, key: RunKey, given: &Given) -> Option<&v1::WorkStep> {
+    fn replaceable(&self, key: RunKey, given: &AssignedRun) -> Option<&v1::WorkStep> {
         if !matches!(given.phase, Phase::Running { .. }) {
             return None;
         }
@@ -253,14 +254,14 @@
     }
 
     /// How long the runs of each step take by their pace, with their workers.
-    fn totals(&self) -> Totals {
+    fn run_time_estimates(&self) -> Totals {
         let mut totals = Totals::new();
         for (name, worker) in &self.workers {
             for (key, given) in &worker.runs {
                 if self.replaceable(*key, given).is_none() {
                     continue;
                 }
-                if let Some(total_ms) = given.progress.and_then(|seen| seen.total_ms()) {
+                if let Some(total_ms) = given.progress.and_then(|seen| seen.estimated_total_ms()) {
                     totals.entry(key.0.step).or_default().push((name.clone(), total_ms));
                 }
             }
@@ -281,19 +282,19 @@
             let Some(entry) = self.jobs.get_mut(&task.step.job) else { return };
             entry.failed_on.insert(name.clone(), now.steady_ms);
             let runs = entry.job.task(task).map_or(0, |task| task.runs.len());
-            if runs == 1 && entry.copies.insert(task) {
+            if runs == 1 && entry.wanted_copies.insert(task) {
                 log::info!(task:% = task, run, worker:% = name, is_lost; "copy wanted");
                 self.reindex(task.step.job, now);
             }
             return;
         }
         log::info!(task:% = task, run, worker:% = name; "run makes no progress and is replaced");
-        self.blame(name, task.step.job, now);
+        self.record_failure_at(name, task.step.job, now);
         self.stop_run(name, key, now);
     }
 
     /// Sends stops again that were not confirmed, and looks where confirmed ones are not settled.
-    pub(crate) fn repeat_stops(&mut self, now: Now) {
+    pub(crate) fn retry_stops(&mut self, now: Now) {
         let retry_ms = self.options.stop_retry_ms;
         let mut due = Vec::new();
         let mut unsettled = Vec::new();
@@ -315,7 +316,7 @@
             self.send_stop(&name, key);
         }
         for name in unsettled {
-            self.look_now(&name);
+            self.send_extra_poll(&name);
         }
     }
 }
--- a/lilacpass-lead/src/silences.rs
+++ b/lilacpass-lead/src/outages.rs
@@ -11,7 +11,7 @@
 
 /// A worker that has fallen silent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Silence {
+pub struct Outage {
     /// The worker.
     pub worker: WorkerName,
     /// Its rack; empty where that is not known.
@@ -19,18 +19,18 @@
     /// Since when, on the steady clock.
     pub since_ms: u64,
     /// It had lived on after the start of all that ran there: none of that made it fall silent.
-    pub is_uncaused: bool,
+    pub has_no_suspect: bool,
 }
 
 /// Silences, in the order in which they began.
 #[derive(Debug, Default)]
-pub struct Silences {
-    silences: VecDeque<Silence>,
+pub struct RecentOutages {
+    silences: VecDeque<Outage>,
 }
 
-impl Silences {
+impl RecentOutages {
     /// A worker has fallen silent, or is found to have crashed.
-    pub fn begin(&mut self, silence: Silence) {
+    pub fn record(&mut self, silence: Outage) {
         let now_ms = silence.since_ms;
         while self.silences.front().is_some_and(|first| first.since_ms + KEPT_MS < now_ms) {
             self.silences.pop_front();
@@ -39,16 +39,16 @@
     }
 
     /// A worker answers again.
-    pub fn end(&mut self, worker: &WorkerName) {
+    pub fn clear(&mut self, worker: &WorkerName) {
         self.silences.retain(|silence| silence.worker != *worker);
     }
 
     /// Silences of other workers that began together with one that began at `since_ms`.
-    pub fn together_with(
+    pub fn concurrent_with(
         &self,
         worker: &WorkerName,
         since_ms: u64,
-    ) -> impl Iterator<Item = &Silence> {
+    ) -> impl Iterator<Item = &Outage> {
         self.silences.iter().filter(move |other| {
             other.worker != *worker && other.since_ms.abs_diff(since_ms) <= TOGETHER_MS
         })
--- a/lilacpass-lead/src/outbox.rs
+++ b/lilacpass-lead/src/outbox.rs
@@ -11,13 +11,13 @@
 
 /// What becomes possible once a change is stored.
 #[derive(Clone, Debug, PartialEq)]
-pub enum After {
+pub enum OnStored {
     /// Tell a caller that its job is accepted.
     Accept(Token, JobKey),
     /// Answer a caller.
     Reply(Token, Answer),
     /// Order a run.
-    Order {
+    SendStart {
         /// The worker.
         worker: WorkerName,
         /// The task.
@@ -26,37 +26,37 @@
         run: u32,
     },
     /// Let a worker forget its ends.
-    Forget {
+    ForgetEnds {
         /// The worker.
         worker: WorkerName,
         /// Up to this number.
         upto: u64,
     },
     /// Show the state of a job to callers.
-    Show(JobKey),
+    PublishOutcome(JobKey),
 }
 
 /// Changes, and what follows once they are stored.
 #[derive(Debug, Default)]
-pub struct Changes {
+pub struct RecordBatch {
     /// Jobs whose plan is to be stored.
     pub plans: BTreeSet<JobKey>,
     /// Jobs whose state is to be stored.
     pub states: BTreeSet<JobKey>,
     /// Jobs whose records are to be dropped.
-    pub drops: BTreeSet<JobKey>,
+    pub deletions: BTreeSet<JobKey>,
     /// Jobs whose state is stored together with whatever is stored next, since it alone is not worth a call.
-    pub beside: BTreeSet<JobKey>,
-    after: Vec<After>,
+    pub piggyback_states: BTreeSet<JobKey>,
+    on_stored: Vec<OnStored>,
 }
 
-impl Changes {
+impl RecordBatch {
     fn is_empty(&self) -> bool {
-        !self.has_records() && self.after.is_empty()
+        !self.has_records() && self.on_stored.is_empty()
     }
 
     fn has_records(&self) -> bool {
-        !(self.plans.is_empty() && self.states.is_empty() && self.drops.is_empty())
+        !(self.plans.is_empty() && self.states.is_empty() && self.deletions.is_empty())
     }
 }
 
@@ -64,8 +64,8 @@
 #[derive(Debug, Default)]
 pub struct Outbox {
     /// Those that wait for the append under way.
-    pub waiting: Changes,
-    under_way: Option<Changes>,
+    pub pending: RecordBatch,
+    in_flight: Option<RecordBatch>,
     /// When the append under way was first sent.
     first_sent_ms: Option<u64>,
     not_before_ms: u64,
@@ -73,42 +73,42 @@
 
 impl Outbox {
     /// Waits with `after` until all that has changed so far is stored.
-    pub fn then(&mut self, after: After) {
-        self.waiting.after.push(after);
+    pub fn when_stored(&mut self, after: OnStored) {
+        self.pending.on_stored.push(after);
     }
 
     /// Whether something is to be sent now.
     pub fn is_due(&self, now_ms: u64) -> bool {
-        !self.waiting.is_empty() && self.under_way.is_none() && now_ms >= self.not_before_ms
+        !self.pending.is_empty() && self.in_flight.is_none() && now_ms >= self.not_before_ms
     }
 
     /// Takes all that waits to be sent.
-    pub fn send(&mut self, now_ms: u64) -> &Changes {
+    pub fn start_append(&mut self, now_ms: u64) -> &RecordBatch {
         self.first_sent_ms.get_or_insert(now_ms);
-        let mut changes = mem::take(&mut self.waiting);
+        let mut changes = mem::take(&mut self.pending);
         if changes.has_records() {
-            changes.states.append(&mut changes.beside);
+            changes.states.append(&mut changes.piggyback_states);
         } else {
-            self.waiting.beside = mem::take(&mut changes.beside);
+            self.pending.piggyback_states = mem::take(&mut changes.piggyback_states);
         }
-        self.under_way.insert(changes)
+        self.in_flight.insert(changes)
     }
 
     /// Notes that the append under way is stored. Returns what became possible.
-    pub fn stored(&mut self) -> Vec<After> {
+    pub fn append_stored(&mut self) -> Vec<OnStored> {
         self.first_sent_ms = None;
-        self.under_way.take().map(|changes| changes.after).unwrap_or_default()
+        self.in_flight.take().map(|changes| changes.on_stored).unwrap_or_default()
     }
 
     /// Notes that the store has surely done nothing of the append under way.
-    pub fn refused(&mut self, now_ms: u64) {
-        let Some(mut changes) = self.under_way.take() else { return };
-        changes.plans.append(&mut self.waiting.plans);
-        changes.states.append(&mut self.waiting.states);
-        changes.drops.append(&mut self.waiting.drops);
-        changes.beside.append(&mut self.waiting.beside);
-        changes.after.append(&mut self.waiting.after);
-        self.waiting = changes;
+    pub fn append_refused(&mut self, now_ms: u64) {
+        let Some(mut changes) = self.in_flight.take() else { return };
+        changes.plans.append(&mut self.pending.plans);
+        changes.states.append(&mut self.pending.states);
+        changes.deletions.append(&mut self.pending.deletions);
+        changes.piggyback_states.append(&mut self.pending.piggyback_states);
+        changes.on_stored.append(&mut self.pending.on_stored);
+        self.pending = changes;
         self.not_before_ms = now_ms + RETRY_MS;
     }
 
@@ -118,25 +118,25 @@
     }
 
     /// Whether the store has refused what was sent to it, and nothing is under way.
-    pub fn is_refused(&self) -> bool {
-        self.under_way.is_none() && self.first_sent_ms.is_some()
+    pub fn was_refused(&self) -> bool {
+        self.in_flight.is_none() && self.first_sent_ms.is_some()
     }
 
     /// Takes back jobs that have surely not been stored. Returns their callers.
-    pub fn take_back_jobs(&mut self) -> Vec<(Token, JobKey)> {
-        let taken = mem::take(&mut self.waiting.plans);
-        self.waiting.states.retain(|job| !taken.contains(job));
+    pub fn withdraw_unstored_jobs(&mut self) -> Vec<(Token, JobKey)> {
+        let taken = mem::take(&mut self.pending.plans);
+        self.pending.states.retain(|job| !taken.contains(job));
         let mut callers = Vec::new();
-        self.waiting.after.retain(|after| match after {
-            After::Accept(token, job) if taken.contains(job) => {
+        self.pending.on_stored.retain(|after| match after {
+            OnStored::Accept(token, job) if taken.contains(job) => {
                 callers.push((*token, *job));
                 false
             }
-            After::Accept(..)
-            | After::Reply(..)
-            | After::Order { .. }
-            | After::Forget { .. }
-            | After::Show(_) => true,
+            OnStored::Accept(..)
+            | OnStored::Reply(..)
+            | OnStored::SendStart { .. }
+            | OnStored::ForgetEnds { .. }
+            | OnStored::PublishOutcome(_) => true,
         });
         callers
     }
--- a/lilacpass-lead/src/place.rs
+++ b/lilacpass-lead/src/place.rs
@@ -14,7 +14,8 @@
 /// Whether a worker may ever run tasks of this step, as far as its registration tells.
 pub fn is_eligible(worker: &Worker, service: &str, step: &v1::WorkStep) -> bool {
     let label = &step.required_label;
-    worker.entry.service == service && (label.is_empty() || worker.entry.labels.contains(label))
+    worker.registration.service == service
+        && (label.is_empty() || worker.registration.labels.contains(label))
 }
 
 /// How many tasks that take `need` fit into `room`, at most `most`.
@@ -28,7 +29,7 @@
 
 /// Whether the data of a step is on the worker's rack.
 pub fn is_near(worker: &Worker, step: &v1::WorkStep) -> bool {
-    !step.affinity_rack.is_empty() && worker.entry.labels.contains(&step.affinity_rack)
+    !step.affinity_rack.is_empty() && worker.registration.labels.contains(&step.affinity_rack)
 }
 
 /// How well a worker suits a task; the greatest comes first.
@@ -51,9 +52,9 @@
     pub fn new(worker: &Worker, step: &v1::WorkStep, home: Option<&str>) -> Self {
         Self {
             near: is_near(worker, step),
-            at_home: home == Some(worker.entry.data_centre.as_str()),
+            at_home: home == Some(worker.registration.data_centre.as_str()),
             used_accelerators: worker.used.accelerators.0,
-            free_share: free_share(&worker.room(), &worker.entry.capacity),
+            free_share: free_share(&worker.free_capacity(), &worker.registration.capacity),
         }
     }
 }
@@ -74,8 +75,8 @@
     // Data centres are few, and a list is searched faster than a map.
     let mut rooms: Vec<(&str, u64)> = Vec::new();
     for worker in workers {
-        let room = fits(&worker.room(), &need, most);
-        let data_centre = worker.entry.data_centre.as_str();
+        let room = fits(&worker.free_capacity(), &need, most);
+        let data_centre = worker.registration.data_centre.as_str();
         match rooms.iter_mut().find(|(known, _)| *known == data_centre) {
             Some((_, rooms)) => *rooms += room,
             None => rooms.push((data_centre, room)),
--- a/lilacpass-lead/src/holds.rs
+++ b/lilacpass-lead/src/polling.rs
@@ -5,13 +5,13 @@
 use lilacpass_jobs::{End, How, JobKey, WorkerName};
 
 use crate::{
+    counters::WorkerLoss,
     event::{CallError, Effect, EndRow, LookAnswer, Now, Refusal, RunningRow},
     health,
     leader::Leader,
     options::{self, Mechanism},
-    outbox::After,
-    tally::Loss,
-    worker::{Look, Phase, RunKey, Worker},
+    outbox::OnStored,
+    worker::{Phase, PollState, RunKey, Worker},
 };
 
 /// Most ends that a worker lists at a time. A list of that length may leave ends out.
@@ -24,7 +24,7 @@
 const UNNOTED_LOOKS_A_SECOND: u64 = 300;
 
 impl Leader {
-    pub(crate) fn on_looked(
+    pub(crate) fn on_polled(
         &mut self,
         name: &WorkerName,
         sent_ms: u64,
@@ -35,138 +35,144 @@
         let retry_ms = self.options.look_retry_ms;
         let Some(worker) = self.workers.get_mut(name) else { return };
         if extra {
-            worker.extra_look = false;
+            worker.extra_poll_in_flight = false;
         } else {
-            self.looks_due.insert(name.clone());
+            self.unpolled_workers.insert(name.clone());
         }
         match result {
             Ok(answer) => {
                 if !extra {
-                    worker.look = Look::Due { at_ms: now.steady_ms };
+                    worker.poll = PollState::Due { at_ms: now.steady_ms };
                 }
-                self.on_look_answer(name, sent_ms, answer, now);
+                self.on_poll_response(name, sent_ms, answer, now);
                 if !extra {
-                    self.pause_looks_until_noted(name, now);
+                    self.delay_poll_until_ends_stored(name, now);
                 }
             }
-            Err(CallError::OtherLife) => self.life_over(name, now),
+            Err(CallError::OtherLife) => self.end_incarnation(name, now),
             Err(CallError::Refused(Refusal::Fence)) => self.effects.push(Effect::Deposed),
             Err(err) => {
-                worker.failed_looks += 1;
-                if worker.failed_looks == 1 {
+                worker.failed_polls += 1;
+                if worker.failed_polls == 1 {
                     log::info!(worker:% = name, error:? = err; "worker does not answer");
                 }
                 if !extra {
                     // The first may have lost its answer only, and hides ends until the next.
-                    let pauses = u64::from(worker.failed_looks - 1).min(MOST_RETRY_PAUSES);
-                    worker.look = Look::Due { at_ms: now.steady_ms + retry_ms * pauses };
+                    let pauses = u64::from(worker.failed_polls - 1).min(MOST_RETRY_PAUSES);
+                    worker.poll = PollState::Due { at_ms: now.steady_ms + retry_ms * pauses };
                 }
-                if worker.failed_looks == 1 {
-                    self.note_silence(name, now);
+                if worker.failed_polls == 1 {
+                    self.record_outage(name, now);
                     self.suspect_data_centre(name, now);
                 }
             }
         }
     }
 
-    fn on_look_answer(&mut self, name: &WorkerName, sent_ms: u64, answer: LookAnswer, now: Now) {
+    fn on_poll_response(&mut self, name: &WorkerName, sent_ms: u64, answer: LookAnswer, now: Now) {
         let Some(worker) = self.workers.get_mut(name) else { return };
-        if worker.failed_looks == 1 {
-            self.loss.lost(now.steady_ms);
+        if worker.failed_polls == 1 {
+            self.response_loss.record_lost_response(now.steady_ms);
         }
-        if worker.failed_looks > 0 {
-            log::info!(worker:% = name, failed = worker.failed_looks; "worker answers again");
-            self.silences.end(name);
+        if worker.failed_polls > 0 {
+            log::info!(worker:% = name, failed = worker.failed_polls; "worker answers again");
+            self.outages.clear(name);
         }
-        let first = !worker.commanded;
-        let was_open = worker.is_open();
-        if first || worker.failed_looks > 0 || worker.suspected_until_ms > now.steady_ms {
-            self.news.free(name);
+        let first = !worker.accepted_epoch;
+        let was_open = worker.is_available();
+        if first || worker.failed_polls > 0 || worker.suspected_until_ms > now.steady_ms {
+            self.pending_changes.free(name);
         }
         // The look may have been answered before the others went silent.
         if sent_ms + self.options.avoid_ms > worker.suspected_until_ms {
             worker.suspected_until_ms = 0;
         }
-        worker.heard_ms = now.steady_ms;
+        worker.last_response_ms = now.steady_ms;
         if first {
             // From now on it refuses a former leader, whose last lease began before this answer. Without
             // this, work on a worker that goes dark soon after a take-over would wait for the bound
             // on a leader that can still extend leases, seven seconds longer.
             let lease_ms = options::longest_lease_ms(self.options.lease_ms, 0);
-            worker.lapsed_by_ms = now.steady_ms + lease_ms;
+            worker.leases_expire_by_ms = now.steady_ms + lease_ms;
         }
-        worker.commanded = true;
-        worker.failed_looks = 0;
-        worker.silent_since_ms = None;
+        worker.accepted_epoch = true;
+        worker.failed_polls = 0;
+        worker.unresponsive_since_ms = None;
         worker.is_replaced = false;
         // It was cut off, and has not crashed.
-        worker.lapsed.clear();
-        worker.read_clock(answer.clock_ms, now.steady_ms);
+        worker.expired_runs.clear();
+        worker.record_clock(answer.clock_ms, now.steady_ms);
         if answer.remaining_ms.is_some() && !worker.draining {
             log::info!(worker:% = name, remaining_ms = answer.remaining_ms; "worker drains");
             worker.draining = true;
         }
-        if worker.is_open() != was_open {
-            self.rooms.note(worker);
+        if worker.is_available() != was_open {
+            self.capacity_index.note(worker);
         }
         let whole = answer.ends.len() < ENDS_PAGE;
         let mut listed: Vec<RunKey> =
             answer.running.iter().map(|row| (row.task, row.run)).collect();
         listed.sort_unstable();
-        self.note_ends(name, answer.ends, now);
-        self.note_running(name, &answer.running, now);
+        self.handle_ends(name, answer.ends, now);
+        self.handle_running(name, &answer.running, now);
         self.review_trial(name);
         if whole {
-            self.note_absent(name, &listed, sent_ms, first, now);
+            self.settle_unlisted_runs(name, &listed, sent_ms, first, now);
         }
     }
 
     /// Puts the next look off if the worker lists ends that it may not forget yet: it would return at once.
     /// Ends of other tasks are heard of by it all the same, where the store takes long to note the first.
-    fn pause_looks_until_noted(&mut self, name: &WorkerName, now: Now) {
+    fn delay_poll_until_ends_stored(&mut self, name: &WorkerName, now: Now) {
         let per_worker_ms = self.workers.len() as u64 * 1_000 / UNNOTED_LOOKS_A_SECOND;
         let longest_ms = self.options.look_stuck_ms;
         let pause_ms = per_worker_ms.clamp(self.options.look_unnoted_ms, longest_ms);
         let Some(worker) = self.workers.get_mut(name) else { return };
-        if worker.seen_upto > worker.noted_upto && worker.look != Look::UnderWay {
-            worker.look = Look::Due { at_ms: now.steady_ms + pause_ms };
+        if worker.last_seen_end > worker.last_stored_end && worker.poll != PollState::InFlight {
+            worker.poll = PollState::Due { at_ms: now.steady_ms + pause_ms };
         }
     }
 
     /// Handles ends that are new, and lets the worker forget them once they are stored.
-    fn note_ends(&mut self, name: &WorkerName, ends: Vec<EndRow>, now: Now) {
+    fn handle_ends(&mut self, name: &WorkerName, ends: Vec<EndRow>, now: Now) {
         let Some(worker) = self.workers.get_mut(name) else { return };
-        let seen_upto = worker.seen_upto;
+        let seen_upto = worker.last_seen_end;
         let new: Vec<EndRow> = ends.into_iter().filter(|row| row.number > seen_upto).collect();
         let Some(upto) = new.iter().map(|row| row.number).max() else { return };
-        worker.seen_upto = upto;
+        worker.last_seen_end = upto;
         for row in new {
-            self.note_begun(row.task.step.job);
-            self.judge_worker(name, row.task.step.job, row.end.how, now);
+            self.record_job_begun(row.task.step.job);
+            self.update_worker_health(name, row.task.step.job, row.end.how, now);
             self.end_run(name, (row.task, row.end.run), &row.end, now);
         }
-        self.outbox.then(After::Forget { worker: name.clone(), upto });
+        self.outbox.when_stored(OnStored::ForgetEnds { worker: name.clone(), upto });
     }
 
     /// Notes what the end of a run says about its worker and its job.
-    pub(crate) fn judge_worker(&mut self, name: &WorkerName, job: JobKey, how: How, now: Now) {
+    pub(crate) fn update_worker_health(
+        &mut self,
+        name: &WorkerName,
+        job: JobKey,
+        how: How,
+        now: Now,
+    ) {
         match how {
             How::Done => {
                 if let Some(worker) = self.workers.get_mut(name) {
-                    worker.health.done();
+                    worker.health.record_success();
                 }
                 if let Some(entry) = self.jobs.get_mut(&job) {
                     entry.failed_on.clear();
                 }
             }
-            How::Failed => self.blame(name, job, now),
+            How::Failed => self.record_failure_at(name, job, now),
             How::Stopped | How::Lapsed | How::Crashed(_) | How::Broken | How::Alone | How::Void => {
             }
         }
     }
 
     /// A job came to grief on a worker: weighs whose doing it was.
-    pub(crate) fn blame(&mut self, name: &WorkerName, job: JobKey, now: Now) {
+    pub(crate) fn record_failure_at(&mut self, name: &WorkerName, job: JobKey, now: Now) {
         if let Some(entry) = self.jobs.get_mut(&job) {
             entry.failed_on.insert(name.clone(), now.steady_ms);
         }
@@ -178,7 +184,7 @@
         let speaks = |job| jobs.get(&job).is_none_or(|entry| entry.failed_on.len() <= 1);
         let may_quarantine = may_quarantine && self.options.uses(Mechanism::Quarantine);
         let Some(worker) = self.workers.get_mut(name) else { return };
-        if worker.health.failed(job, speaks) && may_quarantine {
+        if worker.health.record_failure(job, speaks) && may_quarantine {
             worker.health.quarantine(now.steady_ms);
             log::info!(
                 worker:% = name, until_ms = worker.health.quarantined_until_ms - now.steady_ms;
@@ -187,41 +193,41 @@
         }
     }
 
-    fn note_running(&mut self, name: &WorkerName, rows: &[RunningRow], now: Now) {
+    fn handle_running(&mut self, name: &WorkerName, rows: &[RunningRow], now: Now) {
         for row in rows {
             let key = (row.task, row.run);
-            self.note_begun(row.task.step.job);
+            self.record_job_begun(row.task.step.job);
             if let Some(entry) = self.jobs.get_mut(&row.task.step.job) {
                 entry.job.note_checkpoint(row.task, &row.checkpoint);
             }
             let Some(worker) = self.workers.get_mut(name) else { return };
             let Some(given) = worker.runs.get_mut(&key) else {
-                self.stop_stray(name, key, now);
+                self.stop_orphaned_run(name, key, now);
                 continue;
             };
-            given.note_progress(row.percent, now.steady_ms);
+            given.update_progress(row.percent, now.steady_ms);
             if matches!(given.phase, Phase::Ordered | Phase::Uncertain { .. }) {
                 given.set_phase(Phase::Running { since_ms: now.steady_ms });
             }
             let started_ms = given.started_ms;
-            self.review_acquittal(key, started_ms, now);
+            self.clear_proven_task(key, started_ms, now);
         }
     }
 
     /// Stops a run that nobody asked for any more: its end was noted for another reason, or it was started late.
     /// It counts against the worker's room until it is gone.
-    fn stop_stray(&mut self, name: &WorkerName, key: RunKey, now: Now) {
+    fn stop_orphaned_run(&mut self, name: &WorkerName, key: RunKey, now: Now) {
         let need = self.need_of(key.0);
         let Some(worker) = self.workers.get_mut(name) else { return };
         log::warn!(task:% = key.0, run = key.1, worker:% = name; "stray run");
-        worker.give(key, need, Phase::Running { since_ms: now.steady_ms });
-        self.rooms.note(worker);
+        worker.assign(key, need, Phase::Running { since_ms: now.steady_ms });
+        self.capacity_index.note(worker);
         self.stop_run(name, key, now);
     }
 
     /// Settles runs that a look does not list. Only a look that was sent after the last news of a
     /// run says anything, since answers may overtake each other.
-    fn note_absent(
+    fn settle_unlisted_runs(
         &mut self,
         name: &WorkerName,
         listed: &[RunKey],
@@ -240,7 +246,7 @@
             match phase {
                 Phase::Recording | Phase::Ordered => {}
                 // Orders of a former leader are void from the first look of its successor on.
-                Phase::Uncertain { .. } if first => self.void_run(name, key, now),
+                Phase::Uncertain { .. } if first => self.end_never_started(name, key, now),
                 Phase::Uncertain { since_ms } | Phase::Running { since_ms } => {
                     if sent_ms > since_ms {
                         self.stop_run(name, key, now);
@@ -248,31 +254,31 @@
                 }
                 Phase::Stopping { confirmed_ms: Some(confirmed_ms), .. } => {
                     if first || sent_ms > confirmed_ms {
-                        self.void_run(name, key, now);
+                        self.end_never_started(name, key, now);
                     }
                 }
-                Phase::Stopping { .. } if first => self.void_run(name, key, now),
+                Phase::Stopping { .. } if first => self.end_never_started(name, key, now),
                 Phase::Stopping { .. } => {}
             }
         }
     }
 
     /// A run that was not started and can't be any more.
-    pub(crate) fn void_run(&mut self, name: &WorkerName, key: RunKey, now: Now) {
+    pub(crate) fn end_never_started(&mut self, name: &WorkerName, key: RunKey, now: Now) {
         let end = End { run: key.1, how: How::Void, checkpoint: String::new() };
         self.end_run(name, key, &end, now);
     }
 
     pub(crate) fn forget_worker(&mut self, name: &WorkerName) {
         if let Some(worker) = self.workers.remove(name)
-            && self.by_address.get(&worker.entry.address) == Some(name)
+            && self.latest_by_address.get(&worker.registration.address) == Some(name)
         {
-            self.by_address.remove(&worker.entry.address);
+            self.latest_by_address.remove(&worker.registration.address);
         }
-        self.rooms.remove(name);
+        self.capacity_index.remove(name);
     }
 
-    pub(crate) fn end_all(&mut self, name: &WorkerName, now: Now) {
+    pub(crate) fn expire_all_runs(&mut self, name: &WorkerName, now: Now) {
         let Some(worker) = self.workers.get(name) else { return };
         let runs: Vec<RunKey> = worker.runs.keys().copied().collect();
         for key in runs {
@@ -282,13 +288,13 @@
     }
 
     /// Counts the work on workers as ended whose leases have run out by their slowest clock.
-    pub(crate) fn lapse_silent_workers(&mut self, now: Now) {
+    pub(crate) fn expire_unresponsive_workers(&mut self, now: Now) {
         let lapsed: Vec<WorkerName> = self
             .workers
             .values()
-            .filter(|worker| now.steady_ms > worker.lapsed_by_ms)
-            .filter(|worker| !worker.runs.is_empty() || !worker.listed)
-            .map(|worker| worker.entry.name.clone())
+            .filter(|worker| now.steady_ms > worker.leases_expire_by_ms)
+            .filter(|worker| !worker.runs.is_empty() || !worker.registered)
+            .map(|worker| worker.registration.name.clone())
             .collect();
         if lapsed.is_empty() {
             return;
@@ -298,18 +304,20 @@
             if !worker.runs.is_empty() {
                 log::info!(
                     worker:% = name, runs = worker.runs.len(),
-                    silent_ms = worker.silent_ms(now.steady_ms);
+                    silent_ms = worker.unresponsive_ms(now.steady_ms);
                     "leases of a silent worker have lapsed"
                 );
-                self.tally.lost(Loss::Lapsed);
+                self.counters.count_lost_worker(WorkerLoss::LeasesExpired);
             }
-            self.lapse_worker(&name, now);
+            self.expire_worker(&name, now);
         }
         let is_over = |worker: &&Worker| {
-            !worker.listed && worker.runs.is_empty() && !Self::is_asked(worker, now)
+            !worker.registered
+                && worker.runs.is_empty()
+                && !Self::awaits_crash_evidence(worker, now)
         };
         let over = self.workers.values().filter(is_over);
-        let over: Vec<WorkerName> = over.map(|worker| worker.entry.name.clone()).collect();
+        let over: Vec<WorkerName> = over.map(|worker| worker.registration.name.clone()).collect();
         over.iter().for_each(|name| self.forget_worker(name));
     }
 
@@ -322,13 +330,13 @@
     /// not answer us. Without this, work on a worker that left while the leader changed would wait
     /// for the longest lease that the former leader can have given, over ten seconds.
     pub(crate) fn give_up_missing_workers(&mut self, now: Now) {
-        let answering = self.answering_data_centres(now);
+        let answering = self.responsive_data_centres(now);
         let mut missing = Vec::new();
         for (name, worker) in &mut self.workers {
-            let is_missing = !worker.listed
-                && !worker.commanded
-                && worker.lapsed.is_empty()
-                && answering.contains(&worker.entry.data_centre);
+            let is_missing = !worker.registered
+                && !worker.accepted_epoch
+                && worker.expired_runs.is_empty()
+                && answering.contains(&worker.registration.data_centre);
             if !is_missing {
                 worker.missing_since_ms = None;
                 continue;
@@ -338,54 +346,54 @@
                 missing.push(name.clone());
             }
         }
-        missing.iter().for_each(|name| self.gone_unseen(name, missing.len(), now));
+        missing.iter().for_each(|name| self.presume_gone(name, missing.len(), now));
     }
 
     /// Data centres of which a worker has just answered.
-    fn answering_data_centres(&self, now: Now) -> BTreeSet<String> {
+    fn responsive_data_centres(&self, now: Now) -> BTreeSet<String> {
         let heard_from_ms = now.steady_ms.saturating_sub(2 * self.options.look_wait_ms);
         self.workers
             .values()
-            .filter(|worker| worker.commanded && worker.failed_looks == 0)
-            .filter(|worker| worker.heard_ms > heard_from_ms)
-            .map(|worker| worker.entry.data_centre.clone())
+            .filter(|worker| worker.accepted_epoch && worker.failed_polls == 0)
+            .filter(|worker| worker.last_response_ms > heard_from_ms)
+            .map(|worker| worker.registration.data_centre.clone())
             .collect()
     }
 
     /// Starts the looks that are due.
-    pub(crate) fn plan_looks(&mut self, now: Now) {
-        let may_extend = self.may_extend(now);
+    pub(crate) fn send_due_polls(&mut self, now: Now) {
+        let may_extend = self.may_extend_leases(now);
         let options = &self.options;
-        let (look_wait_ms, answer_ms) = if self.loss.is_lossy(now.steady_ms) {
+        let (look_wait_ms, answer_ms) = if self.response_loss.is_lossy(now.steady_ms) {
             (options.look_wait_lossy_ms, options.look_answer_lossy_ms)
         } else {
             (options.look_wait_ms, options.look_answer_ms)
         };
-        let due: Vec<WorkerName> = self.looks_due.iter().cloned().collect();
+        let due: Vec<WorkerName> = self.unpolled_workers.iter().cloned().collect();
         for name in due {
             let Some(worker) = self.workers.get_mut(&name) else {
-                self.looks_due.remove(&name);
+                self.unpolled_workers.remove(&name);
                 continue;
             };
-            let Look::Due { at_ms } = worker.look else { continue };
-            if worker.entry.address.is_empty() || now.steady_ms < at_ms {
+            let PollState::Due { at_ms } = worker.poll else { continue };
+            if worker.registration.address.is_empty() || now.steady_ms < at_ms {
                 continue;
             }
-            let unnoted = worker.seen_upto > worker.noted_upto;
+            let unnoted = worker.last_seen_end > worker.last_stored_end;
             // Without an answer a lease is not extended again, else silence would never let it lapse.
-            let extend = may_extend && worker.failed_looks == 0;
+            let extend = may_extend && worker.failed_polls == 0;
             let lease_ms =
                 if worker.draining { options.draining_lease_ms } else { options.lease_ms };
             let lease_until_ms =
                 if extend { worker.extend_lease(lease_ms, now.steady_ms) } else { None };
-            let wait_ms = if worker.commanded && !unnoted { look_wait_ms } else { 0 };
-            worker.look = Look::UnderWay;
-            self.looks_due.remove(&name);
+            let wait_ms = if worker.accepted_epoch && !unnoted { look_wait_ms } else { 0 };
+            worker.poll = PollState::InFlight;
+            self.unpolled_workers.remove(&name);
             self.effects.push(Effect::Look {
-                worker: worker.entry.name.clone(),
-                address: worker.entry.address.clone(),
+                worker: worker.registration.name.clone(),
+                address: worker.registration.address.clone(),
                 lease_until_ms,
-                forget_upto: worker.noted_upto,
+                forget_upto: worker.last_stored_end,
                 wait_ms,
                 answer_ms,
                 extra: false,
@@ -394,17 +402,17 @@
     }
 
     /// Looks at a worker beside the waiting look, to settle a run without delay.
-    pub(crate) fn look_now(&mut self, name: &WorkerName) {
+    pub(crate) fn send_extra_poll(&mut self, name: &WorkerName) {
         let Some(worker) = self.workers.get_mut(name) else { return };
-        if worker.extra_look || worker.entry.address.is_empty() {
+        if worker.extra_poll_in_flight || worker.registration.address.is_empty() {
             return;
         }
-        worker.extra_look = true;
+        worker.extra_poll_in_flight = true;
         self.effects.push(Effect::Look {
             worker: name.clone(),
-            address: worker.entry.address.clone(),
+            address: worker.registration.address.clone(),
             lease_until_ms: None,
-            forget_upto: worker.noted_upto,
+            forget_upto: worker.last_stored_end,
             wait_ms: 0,
             answer_ms: self.options.look_answer_ms,
             extra: true,
--- a/lilacpass-lead/src/preempt.rs
+++ b/lilacpass-lead/src/preempt.rs
@@ -14,7 +14,7 @@
     place,
     rank::Rank,
     reserve::Share,
-    worker::{Given, Phase, RunKey, Worker},
+    worker::{AssignedRun, Phase, RunKey, Worker},
 };
 
 /// How long room is kept for a step once work was stopped for it. A stop takes up to 0.9 s, by the
@@ -37,14 +37,16 @@
     /// Whether any work is less urgent than a step, as of the last review.
     pub(crate) fn may_preempt_any(&self, name: StepName) -> bool {
         let entry = self.jobs.get(&name.job);
-        entry.is_some_and(|entry| entry.job.queue.priority < self.least_urgent)
+        entry.is_some_and(|entry| entry.job.queue.priority < self.least_urgent_priority)
     }
 
     /// The room that a step with this rank would find on a worker if work that can wait were stopped.
     pub(crate) fn possible_room(&self, rank: &Rank, worker: &Worker) -> Resources {
         let victims = self.victims(worker, rank.priority);
         let freed = victims.iter().fold(Resources::ZERO, |sum, (_, need)| sum.plus(need));
-        worker.room_after(&freed).minus(&self.reservations.kept_from(rank, &worker.entry.name))
+        worker
+            .free_capacity_after(&freed)
+            .minus(&self.reservations.kept_from(rank, &worker.registration.name))
     }
 
     /// Stops work of less urgent queues where tasks of a step may start, if that gives room to tasks of it
@@ -82,7 +84,7 @@
         for (worker, key) in stops {
             log::info!(task:% = key.0, run = key.1, worker:% = worker, step:% = name; "run preempted");
             if let Some(entry) = self.jobs.get_mut(&key.0.step.job) {
-                *entry.preempted.entry(key.0).or_default() += 1;
+                *entry.preemptions.entry(key.0).or_default() += 1;
             }
             self.stop_run(&worker, key, now);
         }
@@ -101,13 +103,13 @@
         let need = place::need(plan);
         let offer = |worker: &&Worker| {
             let most = waiting.min(self.may_take(worker, name, plan));
-            let kept = self.reservations.kept_from(rank, &worker.entry.name);
+            let kept = self.reservations.kept_from(rank, &worker.registration.name);
             let fits = |freed: &Resources| {
-                place::fits(&worker.room_after(freed).minus(&kept), &need, most)
+                place::fits(&worker.free_capacity_after(freed).minus(&kept), &need, most)
             };
             let victims = self.victims(worker, rank.priority);
             let (tasks, stops) = cheapest(most, victims, fits);
-            (tasks > 0).then(|| Offer { worker: worker.entry.name.clone(), tasks, stops })
+            (tasks > 0).then(|| Offer { worker: worker.registration.name.clone(), tasks, stops })
         };
         self.allowed(name, None, now)
             .into_iter()
@@ -130,10 +132,10 @@
 
     /// Whether a run may be stopped for work of this priority: it is less urgent, goes on where it was,
     /// is not about to end, and has not been stopped too often.
-    fn may_preempt(&self, key: RunKey, given: &Given, priority: u32) -> bool {
+    fn may_preempt(&self, key: RunKey, given: &AssignedRun, priority: u32) -> bool {
         let Some(entry) = self.jobs.get(&key.0.step.job) else { return false };
         let plan = entry.job.step_plan(key.0.step.step);
-        let stops = entry.preempted.get(&key.0).copied().unwrap_or(0);
+        let stops = entry.preemptions.get(&key.0).copied().unwrap_or(0);
         entry.job.queue.priority > priority
             && plan.checkpointing
             && !plan.gang
@@ -145,7 +147,7 @@
     }
 }
 
-fn since_ms(given: &Given) -> u64 {
+fn since_ms(given: &AssignedRun) -> u64 {
     match given.phase {
         Phase::Running { since_ms } => since_ms,
         Phase::Recording | Phase::Ordered | Phase::Uncertain { .. } | Phase::Stopping { .. } => 0,
--- a/lilacpass-lead/src/progress.rs
+++ b/lilacpass-lead/src/progress.rs
@@ -56,7 +56,7 @@
     }
 
     /// Notes the share of the work that is done.
-    pub fn note(&mut self, percent: u32, now_ms: u64) {
+    pub fn update(&mut self, percent: u32, now_ms: u64) {
         if percent != self.percent {
             self.percent = percent;
             self.changed_ms = now_ms;
@@ -70,7 +70,7 @@
     }
 
     /// The time that the whole run will take at its pace, in ms; none before that can be told.
-    pub fn total_ms(&self) -> Option<u64> {
+    pub fn estimated_total_ms(&self) -> Option<u64> {
         let worked_ms = self.changed_ms.saturating_sub(self.began_ms);
         if worked_ms < JUDGED_MS || self.percent <= self.began_percent {
             return None;
@@ -79,8 +79,8 @@
     }
 
     /// The time in ms until the run is done at its pace; none before that can be told.
-    pub fn left_ms(&self, now_ms: u64) -> Option<u64> {
-        let left_ms = self.total_ms()? * u64::from(100 - self.percent.min(100)) / 100;
+    pub fn estimated_remaining_ms(&self, now_ms: u64) -> Option<u64> {
+        let left_ms = self.estimated_total_ms()? * u64::from(100 - self.percent.min(100)) / 100;
         Some(left_ms.saturating_sub(now_ms.saturating_sub(self.changed_ms)))
     }
 
--- a/lilacpass-lead/src/recording.rs
+++ b/lilacpass-lead/src/recording.rs
@@ -5,27 +5,31 @@
 use crate::{
     event::{Effect, Now, Record},
     leader::Leader,
-    outbox::After,
+    outbox::OnStored,
 };
 
 impl Leader {
     /// The append under way is stored: does what waited for it.
     pub(crate) fn on_appended(&mut self, now: Now) {
-        self.confirmed_ms = self.confirmed_ms.max(self.append_sent_ms);
-        for after in self.outbox.stored() {
+        self.leadership_confirmed_ms = self.leadership_confirmed_ms.max(self.append_sent_ms);
+        for after in self.outbox.append_stored() {
             match after {
-                After::Accept(token, key) => self.accept(token, key),
-                After::Reply(token, answer) => self.effects.push(Effect::Reply { token, answer }),
-                After::Order { worker, task, run } => self.order(&worker, task, run, now),
-                After::Forget { worker, upto } => {
+                OnStored::Accept(token, key) => self.accept(token, key),
+                OnStored::Reply(token, answer) => {
+                    self.effects.push(Effect::Reply { token, answer })
+                }
+                OnStored::SendStart { worker, task, run } => {
+                    self.send_start(&worker, task, run, now)
+                }
+                OnStored::ForgetEnds { worker, upto } => {
                     if let Some(worker) = self.workers.get_mut(&worker) {
-                        worker.noted_upto = worker.noted_upto.max(upto);
-                        worker.look_at_once(now.steady_ms);
+                        worker.last_stored_end = worker.last_stored_end.max(upto);
+                        worker.poll_at_once(now.steady_ms);
                     }
                 }
-                After::Show(key) => {
+                OnStored::PublishOutcome(key) => {
                     if let Some(entry) = self.jobs.get_mut(&key) {
-                        entry.shown = entry.job.outcome;
+                        entry.visible_outcome = entry.job.outcome;
                     }
                 }
             }
@@ -36,10 +40,10 @@
     ///
     /// Recorded beside other changes: a successor that can't reach the worker would else tell callers that
     /// a job waits which they were told runs, until the worker answers.
-    pub(crate) fn note_begun(&mut self, key: JobKey) {
+    pub(crate) fn record_job_begun(&mut self, key: JobKey) {
         let Some(entry) = self.jobs.get_mut(&key) else { return };
         if entry.job.note_begun() {
-            self.outbox.waiting.beside.insert(key);
+            self.outbox.pending.piggyback_states.insert(key);
         }
     }
 
@@ -48,7 +52,7 @@
         if !self.outbox.is_due(now.steady_ms) {
             return;
         }
-        let changes = self.outbox.send(now.steady_ms);
+        let changes = self.outbox.start_append(now.steady_ms);
         let mut records = Vec::new();
         for key in &changes.plans {
             if let Some(entry) = self.jobs.get(key) {
@@ -62,7 +66,7 @@
                 records.push(Record { key: record::state_key(*key), value });
             }
         }
-        for key in &changes.drops {
+        for key in &changes.deletions {
             records.push(Record { key: record::plan_key(*key), value: Vec::new() });
             records.push(Record { key: record::state_key(*key), value: Vec::new() });
         }
@@ -76,8 +80,8 @@
     }
 
     fn on_appended_nothing(&mut self, now: Now) {
-        let confirmed_ms = self.confirmed_ms;
+        let confirmed_ms = self.leadership_confirmed_ms;
         self.on_appended(now);
-        self.confirmed_ms = confirmed_ms;
+        self.leadership_confirmed_ms = confirmed_ms;
     }
 }
--- a/lilacpass-lead/src/reindex.rs
+++ b/lilacpass-lead/src/reindex.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     event::Now,
-    leader::{Entry, Leader},
+    leader::{JobEntry, Leader},
     rank,
     waiting::Sort,
 };
@@ -20,7 +20,7 @@
 
     /// The same where only tasks of one step have changed: it, and the steps that may wait for it.
     pub(crate) fn reindex_step(&mut self, changed: StepName, now: Now) {
-        let is_open = |entry: &Entry| entry.job.outcome == Outcome::Open;
+        let is_open = |entry: &JobEntry| entry.job.outcome == Outcome::Open;
         if !self.jobs.get(&changed.job).is_some_and(is_open) {
             return self.reindex(changed.job, now);
         }
@@ -38,7 +38,7 @@
         for name in job.step_names() {
             if !may_differ(name) {
                 if self.waiting.rank_of(name).is_some() {
-                    self.news.change(name);
+                    self.pending_changes.change(name);
                 }
                 continue;
             }
@@ -47,13 +47,13 @@
                 let sort = Sort::of(job.step_plan(name.step), job.queue.advice.is_some());
                 if self.waiting.add(name, sort, now.steady_ms, || rank::of_step(job, name)) {
                     // It asks from the next round on.
-                    self.askers.pause(name, now.steady_ms);
+                    self.advice_queue.pause(name, now.steady_ms);
                 }
-                self.news.change(name);
+                self.pending_changes.change(name);
                 continue;
             }
             if self.waiting.remove(name) {
-                self.askers.remove(name);
+                self.advice_queue.remove(name);
             }
             let due_ms = job.due_ms(name.occurrence);
             if waits && job.outcome == Outcome::Open && due_ms > now.unix_ms {
@@ -61,16 +61,16 @@
             }
         }
         if let Some(due_ms) = next_due_ms {
-            self.due.insert((due_ms, key));
+            self.upcoming_occurrences.insert((due_ms, key));
         }
     }
 }
 
 /// Whether a step has tasks to start; all of them, for a gang.
-fn waits(entry: &Entry, name: StepName) -> bool {
+fn waits(entry: &JobEntry, name: StepName) -> bool {
     let job = &entry.job;
     if job.step_plan(name.step).gang {
         return job.step(name).is_some_and(Step::all_wait);
     }
-    job.step(name).is_some() && job.task_names(name).any(|task| entry.wants_run(task))
+    job.step(name).is_some() && job.task_names(name).any(|task| entry.needs_run(task))
 }
--- a/lilacpass-lead/src/loss.rs
+++ b/lilacpass-lead/src/response_loss.rs
@@ -14,13 +14,13 @@
 
 /// Lost answers of late.
 #[derive(Debug, Default)]
-pub struct LossMeter {
+pub struct ResponseLossMeter {
     lost_ms: VecDeque<u64>,
 }
 
-impl LossMeter {
+impl ResponseLossMeter {
     /// A worker answers whose call before got no answer.
-    pub fn lost(&mut self, now_ms: u64) {
+    pub fn record_lost_response(&mut self, now_ms: u64) {
         if self.lost_ms.len() == FEWEST {
             self.lost_ms.pop_front();
         }
@@ -29,7 +29,7 @@
 
     /// Forgets what was noted. For a leader that is late itself: answers waited in its own queue, and
     /// more looks would make it later still, until no worker seems to answer.
-    pub fn forget(&mut self) {
+    pub fn clear(&mut self) {
         self.lost_ms.clear();
     }
 
--- a/lilacpass-lead/src/rooms.rs
+++ b/lilacpass-lead/src/rooms.rs
@@ -56,18 +56,18 @@
     /// One that has not answered this leader can't. Right after a change of the leader none has, and hundreds of
     /// steps look for room.
     pub fn note(&mut self, worker: &Worker) {
-        let name = &worker.entry.name;
-        if !worker.is_open() {
+        let name = &worker.registration.name;
+        if !worker.is_available() {
             return self.remove(name);
         }
-        let room = worker.room();
+        let room = worker.free_capacity();
         let place = Place {
-            pool: self.pool(&worker.entry.service),
+            pool: self.pool(&worker.registration.service),
             room,
-            data_centre: worker.entry.data_centre.clone(),
+            data_centre: worker.registration.data_centre.clone(),
             preferred: Preferred {
                 used_accelerators: Reverse(worker.used.accelerators.0),
-                free_share: Reverse(place::free_share(&room, &worker.entry.capacity)),
+                free_share: Reverse(place::free_share(&room, &worker.registration.capacity)),
                 worker: name.clone(),
             },
         };
@@ -151,7 +151,7 @@
 impl Leader {
     /// Workers in order of their names, among them all of a service with room for `need`.
     pub(crate) fn workers_with_room(&self, service: &str, need: &Resources) -> Vec<&Worker> {
-        match self.rooms.with_room(service, need, self.workers.len() / FEW_IN) {
+        match self.capacity_index.with_room(service, need, self.workers.len() / FEW_IN) {
             Some(few) => few.into_iter().filter_map(|name| self.workers.get(name)).collect(),
             None => self.workers.values().collect(),
         }
--- a/lilacpass-lead/src/rounds.rs
+++ b/lilacpass-lead/src/rounds.rs
@@ -12,13 +12,13 @@
 impl Leader {
     /// Whether the next round has something left to do that this one could not.
     pub fn has_more(&self) -> bool {
-        self.turn.is_under_way()
+        self.scan.is_under_way()
     }
 
     /// A round has looked at all it may before this step: the others get their turns in the next ones.
     pub(crate) fn cut_round(&mut self, before: Rank, news: Digest, now: Now) {
         self.pressure.cut();
-        self.turn.begin(self.waiting.before(before), now);
+        self.scan.begin(self.waiting.before(before), now);
         self.keep_unseen(news);
     }
 
@@ -31,7 +31,7 @@
         // The turn is what looks at everything.
         news.all = false;
         let first = self.place_first(&mut news, most / FIRST_IN, now);
-        let next = self.turn.next(&self.waiting, (most / FIRST_IN) as usize, now);
+        let next = self.scan.next(&self.waiting, (most / FIRST_IN) as usize, now);
         for step in &next {
             news.changed.remove(step);
             self.place_step(*step, None, now);
@@ -39,7 +39,7 @@
         self.ask_about(&first, most / ADVICE_IN, now);
         self.ask_about(&next, u64::MAX, now);
         self.keep_unseen(news);
-        if self.turn.is_under_way() {
+        if self.scan.is_under_way() {
             self.pressure.cut();
         } else {
             self.keep_room_ahead(now);
@@ -48,10 +48,10 @@
 
     /// Places tasks of steps that changed or have new room, in order, until `most` were looked at.
     fn place_first(&mut self, news: &mut Digest, most: u64, now: Now) -> Vec<StepName> {
-        let end = self.work.tries + most;
+        let end = self.work.steps_examined + most;
         let mut looked_at = Vec::new();
         for (rank, scope) in self.due(news) {
-            if self.work.tries >= end {
+            if self.work.steps_examined >= end {
                 break;
             }
             match scope {
@@ -66,9 +66,9 @@
 
     /// Asks for advice about steps until `most` were looked at.
     fn ask_about(&mut self, steps: &[StepName], most: u64, now: Now) {
-        let end = self.work.tries.saturating_add(most);
+        let end = self.work.steps_examined.saturating_add(most);
         for step in steps {
-            if self.work.tries >= end || !self.lanes.any_idle() {
+            if self.work.steps_examined >= end || !self.lanes.any_idle() {
                 return;
             }
             self.ask_advice(*step, now);
@@ -79,7 +79,7 @@
     fn keep_unseen(&mut self, news: Digest) {
         for step in news.changed {
             if self.waiting.rank_of(step).is_some() {
-                self.news.change(step);
+                self.pending_changes.change(step);
             }
         }
     }
--- a/lilacpass-lead/src/ends.rs
+++ b/lilacpass-lead/src/run_ends.rs
@@ -2,16 +2,16 @@
 
 use lilacpass_jobs::{End, How, JobKey, StepName, TaskName, WorkerName, job::Change};
 
-use crate::{event::Now, leader::Leader, options::Mechanism, outbox::After, worker::RunKey};
+use crate::{event::Now, leader::Leader, options::Mechanism, outbox::OnStored, worker::RunKey};
 
 impl Leader {
     /// Takes note that a run has ended on a worker, and of what follows for its job.
     pub(crate) fn end_run(&mut self, worker_name: &WorkerName, key: RunKey, end: &End, now: Now) {
         let (task, run) = key;
         if let Some(worker) = self.workers.get_mut(worker_name) {
-            worker.take(key);
-            self.rooms.note(worker);
-            self.news.free(worker_name);
+            worker.remove_run(key);
+            self.capacity_index.note(worker);
+            self.pending_changes.free(worker_name);
         }
         let Some(entry) = self.jobs.get_mut(&task.step.job) else { return };
         let change = entry.job.end_run(task, worker_name, end, now.unix_ms);
@@ -24,10 +24,10 @@
             return;
         }
         if end.how != How::Void {
-            self.outbox.waiting.states.insert(task.step.job);
+            self.outbox.pending.states.insert(task.step.job);
         }
         match change {
-            Change::JobEnded => self.job_ended(task.step.job, now),
+            Change::JobEnded => self.on_job_ended(task.step.job, now),
             Change::TaskDone => {
                 self.stop_copies(task, now);
                 if self.options.uses(Mechanism::NextStepAdvice) {
@@ -60,24 +60,24 @@
     }
 
     /// A job has come to its outcome: shows it once it is stored, and stops what still runs.
-    pub(crate) fn job_ended(&mut self, key: JobKey, now: Now) {
-        self.struck.remove(&key);
-        self.note_failure(key);
-        self.outbox.waiting.states.insert(key);
-        self.outbox.then(After::Show(key));
+    pub(crate) fn on_job_ended(&mut self, key: JobKey, now: Now) {
+        self.crash_affected_jobs.remove(&key);
+        self.report_failure(key);
+        self.outbox.pending.states.insert(key);
+        self.outbox.when_stored(OnStored::PublishOutcome(key));
         self.stop_job(key, now);
         self.reindex(key, now);
-        self.forget_steps(key);
+        self.release_steps(key);
     }
 
     /// Forgets what was prepared for the steps of a job.
-    pub(crate) fn forget_steps(&mut self, key: JobKey) {
+    pub(crate) fn release_steps(&mut self, key: JobKey) {
         let steps = self.jobs.get(&key).map(|entry| entry.job.step_names());
         for step in steps.into_iter().flatten() {
             self.forget_advice(step);
         }
         for worker in self.reservations.release_job(key) {
-            self.news.free(&worker);
+            self.pending_changes.free(&worker);
         }
     }
 
--- a/lilacpass-lead/src/schedule.rs
+++ b/lilacpass-lead/src/schedule.rs
@@ -15,7 +15,7 @@
     leader::Leader,
     news::Digest,
     options::Mechanism,
-    outbox::After,
+    outbox::OnStored,
     place,
     rank::Rank,
     worker::{Phase, RunKey, Worker},
@@ -29,22 +29,22 @@
     /// Places waiting tasks and asks for the advice that others need.
     pub(crate) fn schedule(&mut self, now: Now) {
         for worker in self.reservations.expire(now.steady_ms) {
-            self.news.free(&worker);
+            self.pending_changes.free(&worker);
         }
-        let mut news = self.news.take(now.steady_ms);
-        self.tries_for_room = 0;
-        for step in self.askers.wake(now.steady_ms) {
+        let mut news = self.pending_changes.take(now.steady_ms);
+        self.preemption_searches = 0;
+        for step in self.advice_queue.wake(now.steady_ms) {
             self.review_asker(step, now);
         }
         self.ask_for_kept_room(now);
-        if self.turn.is_under_way() {
+        if self.scan.is_under_way() {
             return self.schedule_in_turns(news, now);
         }
-        let end = self.work.tries + self.pressure.tries_a_round();
+        let end = self.work.steps_examined + self.pressure.tries_a_round();
         let mut due = self.due(&news);
         let mut last = None;
         while let Some(rank) = self.next_step(&due, last) {
-            if self.work.tries >= end {
+            if self.work.steps_examined >= end {
                 return self.cut_round(rank, news, now);
             }
             match due.remove(&rank) {
@@ -59,7 +59,7 @@
             last = Some(rank);
         }
         if news.all {
-            self.turn.not_needed();
+            self.scan.not_needed();
             self.keep_room_ahead(now);
         }
     }
@@ -89,7 +89,7 @@
             return first;
         }
         let may_call = |queue: &str, base_ms| self.lanes.may_call(queue, base_ms);
-        let asking = self.askers.next_after(last, may_call);
+        let asking = self.advice_queue.next_after(last, may_call);
         first.into_iter().chain(asking).min()
     }
 
@@ -102,19 +102,19 @@
     ) {
         let Some(entry) = self.jobs.get(&name.job) else { return };
         let mut waiting: Vec<TaskName> =
-            entry.job.task_names(name).filter(|task| entry.wants_run(*task)).collect();
+            entry.job.task_names(name).filter(|task| entry.needs_run(*task)).collect();
         if waiting.is_empty() {
             return;
         }
         let plan = entry.job.step_plan(name.step).clone();
-        self.work.tries += 1;
+        self.work.steps_examined += 1;
         self.choose_home(name, &plan, now);
         let mut hosts = self.hosts(name, &plan, among, now);
         let strays =
             among.is_none() && !hosts.is_empty() && !hosts.iter().any(|host| host.score.at_home);
         if strays && let Some(entry) = self.jobs.get_mut(&name.job) {
             // Its data centre is full or cut off; the next step looks for another.
-            entry.home = None;
+            entry.home_data_centre = None;
         }
         if plan.one_rack {
             hosts::keep_one_rack(&mut hosts, &plan, waiting.len());
@@ -130,8 +130,8 @@
         if missing > 0 && among.is_none() {
             let wanted = if plan.gang { wanted as u64 } else { missing };
             let may_preempt = !plan.lasting && self.options.uses(Mechanism::Preemption);
-            if may_preempt && self.tries_for_room < MOST_TRIES_FOR_ROOM {
-                self.tries_for_room += 1;
+            if may_preempt && self.preemption_searches < MOST_TRIES_FOR_ROOM {
+                self.preemption_searches += 1;
                 self.make_room(name, &plan, wanted, now);
             }
         }
@@ -179,17 +179,17 @@
     /// last are spread instead: each that is lost counts by itself.
     pub(crate) fn choose_home(&mut self, name: StepName, plan: &v1::WorkStep, now: Now) {
         let Some(entry) = self.jobs.get(&name.job) else { return };
-        if entry.home.is_some() || plan.lasting || !self.options.uses(Mechanism::Home) {
+        if entry.home_data_centre.is_some() || plan.lasting || !self.options.uses(Mechanism::Home) {
             return;
         }
         let service = entry.job.queue.service.as_str();
         let could_run = |worker: &&Worker| {
-            worker.takes_starts(now.steady_ms) && place::is_eligible(worker, service, plan)
+            worker.accepts_starts(now.steady_ms) && place::is_eligible(worker, service, plan)
         };
         let roomy = self.workers_with_room(service, &place::need(plan));
         let home = place::home(roomy.into_iter().filter(could_run), plan);
         if let Some(entry) = self.jobs.get_mut(&name.job) {
-            entry.home = home;
+            entry.home_data_centre = home;
         }
     }
 
@@ -209,7 +209,7 @@
         now: Now,
     ) -> Vec<Host> {
         let Some(entry) = self.jobs.get(&name.job) else { return Vec::new() };
-        let home = entry.home_of(plan);
+        let home = entry.home_for(plan);
         let need = place::need(plan);
         let Some(rank) = self.waiting.rank_of(name) else { return Vec::new() };
         let is_host = |worker: &&Worker| {
@@ -225,13 +225,13 @@
             .into_iter()
             .filter(is_host)
             .map(|worker| Host {
-                name: worker.entry.name.clone(),
+                name: worker.registration.name.clone(),
                 room: self.room_for(&rank, worker),
                 clean: worker.health.is_clean()
-                    && !entry.failed_on.contains_key(&worker.entry.name),
+                    && !entry.failed_on.contains_key(&worker.registration.name),
                 rack: worker.rack().to_owned(),
                 score: place::Score::new(worker, plan, home),
-                capacity: worker.entry.capacity,
+                capacity: worker.registration.capacity,
                 may_take: self.may_take(worker, name, plan),
             })
             .collect()
@@ -266,15 +266,15 @@
         now: Now,
     ) -> bool {
         let Some(entry) = self.jobs.get(&name.job) else { return false };
-        worker.takes_starts(now.steady_ms)
+        worker.accepts_starts(now.steady_ms)
             && place::is_eligible(worker, &entry.job.queue.service, plan)
-            && (plan.lasting || !entry.keeps_off(&worker.entry.name, now.steady_ms))
+            && (plan.lasting || !entry.avoids(&worker.registration.name, now.steady_ms))
             && !self.would_disturb(worker, plan)
     }
 
     /// The room on a worker that is open to a step with this rank.
     pub(crate) fn room_for(&self, rank: &Rank, worker: &Worker) -> Resources {
-        worker.room().minus(&self.reservations.kept_from(rank, &worker.entry.name))
+        worker.free_capacity().minus(&self.reservations.kept_from(rank, &worker.registration.name))
     }
 
     /// Whether a task of this step and those on the worker would disturb each other: one that fills
@@ -300,13 +300,13 @@
         let service = &entry.job.queue.service;
         let need = place::need(plan);
         let filled = self.workers.values().find(|worker| {
-            worker.takes_starts(now.steady_ms)
+            worker.accepts_starts(now.steady_ms)
                 && place::is_eligible(worker, service, plan)
-                && need.fits(&worker.room())
+                && need.fits(&worker.free_capacity())
                 && self.would_disturb(worker, plan)
         });
         let Some(worker) = filled else { return };
-        let host = worker.entry.name.clone();
+        let host = worker.registration.name.clone();
         let fills = |task: TaskName| self.plan_of(task).is_some_and(|plan| plan.fills);
         let stopped: Vec<RunKey> =
             worker.runs.keys().copied().filter(|(task, _)| fills(*task)).collect();
@@ -330,7 +330,7 @@
         let Some(entry) = self.jobs.get_mut(&task.step.job) else { return };
         let data_centre = data_centre_of(&self.workers, &worker);
         let Some(run) = entry.job.begin_run(task, worker.clone(), data_centre) else { return };
-        entry.copies.remove(&task);
+        entry.wanted_copies.remove(&task);
         self.record_start(task, run, worker.clone(), now);
         if is_on_trial {
             self.begin_trial(&worker, (task, run));
@@ -363,12 +363,12 @@
         self.reservations.used(task.step, &name, &need);
         self.waiting.note_start(task.step, now.steady_ms);
         if let Some(worker) = self.workers.get_mut(&name) {
-            worker.give((task, run), need, Phase::Recording);
-            self.rooms.note(worker);
+            worker.assign((task, run), need, Phase::Recording);
+            self.capacity_index.note(worker);
         }
         log::info!(task:% = task, run, worker:% = name, need:% = need; "task placed");
-        self.outbox.waiting.states.insert(task.step.job);
-        self.outbox.then(After::Order { worker: name, task, run });
+        self.outbox.pending.states.insert(task.step.job);
+        self.outbox.when_stored(OnStored::SendStart { worker: name, task, run });
     }
 }
 
@@ -380,5 +380,5 @@
 }
 
 fn data_centre_of(workers: &BTreeMap<WorkerName, Worker>, name: &WorkerName) -> Arc<str> {
-    Arc::from(workers.get(name).map_or("", |worker| worker.entry.data_centre.as_str()))
+    Arc::from(workers.get(name).map_or("", |worker| worker.registration.data_centre.as_str()))
 }
--- a/lilacpass-lead/src/trials.rs
+++ b/lilacpass-lead/src/trials.rs
@@ -12,7 +12,7 @@
 use crate::{
     event::Now,
     hosts::Host,
-    leader::{Entry, Leader},
+    leader::{JobEntry, Leader},
     place,
     worker::RunKey,
 };
@@ -23,10 +23,10 @@
 impl Leader {
     /// Whether a task is to be tried where its worker's crash would do least harm and show most: workers have
     /// crashed under it, or are silent since its start.
-    pub(crate) fn is_on_trial(&self, entry: &Entry, name: TaskName) -> bool {
+    pub(crate) fn is_on_trial(&self, entry: &JobEntry, name: TaskName) -> bool {
         let runs = entry.job.task(name).map(|task| task.runs.as_slice()).unwrap_or_default();
         let is_lost_at_start = |run: &Run| {
-            let worker = self.workers.get(&run.worker).filter(|worker| worker.failed_looks > 0);
+            let worker = self.workers.get(&run.worker).filter(|worker| worker.failed_polls > 0);
             worker.is_some_and(|worker| {
                 let given = worker.runs.get(&(name, run.number));
                 given.is_some_and(|given| worker.is_suspect(given))
@@ -39,7 +39,7 @@
     /// are harmless, and where a crash does least harm.
     pub(crate) fn pick_for_trials(
         &self,
-        entry: &Entry,
+        entry: &JobEntry,
         hosts: &[Host],
         plan: &v1::WorkStep,
         count: usize,
@@ -50,9 +50,11 @@
             .filter(|host| host.may_take > 0 && need.fits(&host.room))
             .filter_map(|host| Some((host, self.workers.get(&host.name)?)))
             .map(|(host, worker)| {
-                let unclear = worker.runs.values().filter(|given| worker.is_unclear(given)).count();
-                let crashed = entry.crashed_at.contains(&worker.entry.address);
-                let struck = worker.runs.keys().filter(|(task, _)| self.was_struck(*task)).count();
+                let unclear =
+                    worker.runs.values().filter(|given| worker.is_unproven(given)).count();
+                let crashed = entry.crashed_addresses.contains(&worker.registration.address);
+                let struck =
+                    worker.runs.keys().filter(|(task, _)| self.has_crashed_workers(*task)).count();
                 let rating = (crashed, unclear, struck, worker.runs.len(), Reverse(host.score));
                 (rating, &host.name)
             })
@@ -62,7 +64,7 @@
     }
 
     /// Whether a worker has crashed under a task.
-    fn was_struck(&self, task: TaskName) -> bool {
+    fn has_crashed_workers(&self, task: TaskName) -> bool {
         let entry = self.jobs.get(&task.step.job);
         entry.and_then(|entry| entry.job.task(task)).is_some_and(|task| task.crashes.known > 0)
     }
@@ -80,21 +82,21 @@
     pub(crate) fn review_trial(&mut self, name: &WorkerName) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let Some(key) = worker.trial else { return };
-        let is_clear = worker.runs.get(&key).is_none_or(|given| !worker.is_unclear(given));
+        let is_clear = worker.runs.get(&key).is_none_or(|given| !worker.is_unproven(given));
         if is_clear {
             worker.trial = None;
-            self.news.free(name);
+            self.pending_changes.free(name);
         }
     }
 
     /// A run is at work: clears its task of earlier crashes once it has been for long.
-    pub(crate) fn review_acquittal(&mut self, key: RunKey, started_ms: Option<u64>, now: Now) {
+    pub(crate) fn clear_proven_task(&mut self, key: RunKey, started_ms: Option<u64>, now: Now) {
         if started_ms.is_none_or(|ms| now.steady_ms < ms + ACQUITTED_AFTER_MS) {
             return;
         }
         let Some(entry) = self.jobs.get_mut(&key.0.step.job) else { return };
         if entry.job.acquit(key.0) {
-            self.outbox.waiting.beside.insert(key.0.step.job);
+            self.outbox.pending.piggyback_states.insert(key.0.step.job);
         }
     }
 }
--- a/lilacpass-lead/src/worker.rs
+++ b/lilacpass-lead/src/worker.rs
@@ -38,7 +38,7 @@
 
 /// A run that was given to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Given {
+pub struct AssignedRun {
     /// What is known of it.
     pub phase: Phase,
     /// What it takes.
@@ -51,7 +51,7 @@
     pub is_inherited: bool,
 }
 
-impl Given {
+impl AssignedRun {
     fn new(need: Resources, phase: Phase) -> Self {
         let is_inherited = matches!(phase, Phase::Uncertain { .. });
         let mut given =
@@ -69,73 +69,73 @@
     }
 
     /// Notes the share of its work that is done.
-    pub fn note_progress(&mut self, percent: u32, now_ms: u64) {
-        self.progress.get_or_insert(Progress::new(percent, now_ms)).note(percent, now_ms);
+    pub fn update_progress(&mut self, percent: u32, now_ms: u64) {
+        self.progress.get_or_insert(Progress::new(percent, now_ms)).update(percent, now_ms);
     }
 }
 
 /// The state of the call that looks at a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Look {
+pub enum PollState {
     /// None is under way; the next is due at this time.
     Due {
         /// On the steady clock.
         at_ms: u64,
     },
     /// One is under way.
-    UnderWay,
+    InFlight,
 }
 
 /// A worker.
 #[derive(Clone, Debug)]
 pub struct Worker {
     /// What it registered. Empty but for the name where only records tell of it.
-    pub entry: Registration,
+    pub registration: Registration,
     /// The most of each resource that it has said it has.
-    pub most_capacity: Resources,
+    pub max_capacity: Resources,
     /// Whether it is registered now.
-    pub listed: bool,
+    pub registered: bool,
     /// It has answered a look under our epoch, and no bound on its leases has passed since.
-    pub commanded: bool,
+    pub accepted_epoch: bool,
     /// It drains, by its registration or its own word.
     pub draining: bool,
     /// Its clock less ours, and when that was read.
     clock: Option<(i64, u64)>,
     /// When everything there has surely lapsed, if nothing more is sent.
-    pub lapsed_by_ms: u64,
+    pub leases_expire_by_ms: u64,
     /// Runs given to it that are not known to have ended.
-    pub runs: BTreeMap<RunKey, Given>,
+    pub runs: BTreeMap<RunKey, AssignedRun>,
     /// What these take.
     pub used: Resources,
     /// Number of the last end that was handled.
-    pub seen_upto: u64,
+    pub last_seen_end: u64,
     /// Number of the last end that is recorded.
-    pub noted_upto: u64,
+    pub last_stored_end: u64,
     /// The waiting look.
-    pub look: Look,
+    pub poll: PollState,
     /// An extra look is under way.
-    pub extra_look: bool,
+    pub extra_poll_in_flight: bool,
     /// Looks that failed since the last answer.
-    pub failed_looks: u32,
+    pub failed_polls: u32,
     /// When the first of these failed, on the steady clock.
-    pub silent_since_ms: Option<u64>,
+    pub unresponsive_since_ms: Option<u64>,
     /// Nothing is started there before this time.
-    pub avoid_until_ms: u64,
+    pub starts_paused_until_ms: u64,
     /// The same because others near it are silent; ends early once it answers a look.
     pub suspected_until_ms: u64,
     /// What speaks against it.
-    pub health: health::Record,
+    pub health: health::WorkerHealth,
     /// Since when it has been unregistered and out of reach while its data centre answered, on the
     /// steady clock.
     pub missing_since_ms: Option<u64>,
     /// When it last answered anything, on the steady clock.
-    pub heard_ms: u64,
+    pub last_response_ms: u64,
     /// A run that may crash it: until that has shown itself harmless nothing else is started there.
     pub trial: Option<RunKey>,
     /// Another worker has registered at its address since it fell silent.
     pub is_replaced: bool,
     /// Runs that were given up when its leases had run out in silence, and what its crash would say of them.
-    pub lapsed: Vec<(RunKey, Suspicion)>,
+    pub expired_runs: Vec<(RunKey, Suspicion)>,
 }
 
 /// A run whose worker has answered for so long after its start has not crashed it by starting.
@@ -146,33 +146,33 @@
     pub fn new(entry: Registration, lapsed_by_ms: u64) -> Self {
         Self {
             draining: entry.draining,
-            most_capacity: entry.capacity,
-            entry,
-            listed: false,
-            commanded: false,
+            max_capacity: entry.capacity,
+            registration: entry,
+            registered: false,
+            accepted_epoch: false,
             clock: None,
-            lapsed_by_ms,
+            leases_expire_by_ms: lapsed_by_ms,
             runs: BTreeMap::new(),
             used: Resources::ZERO,
-            seen_upto: 0,
-            noted_upto: 0,
-            look: Look::Due { at_ms: 0 },
-            extra_look: false,
-            failed_looks: 0,
-            silent_since_ms: None,
-            avoid_until_ms: 0,
+            last_seen_end: 0,
+            last_stored_end: 0,
+            poll: PollState::Due { at_ms: 0 },
+            extra_poll_in_flight: false,
+            failed_polls: 0,
+            unresponsive_since_ms: None,
+            starts_paused_until_ms: 0,
             suspected_until_ms: 0,
-            health: health::Record::default(),
+            health: health::WorkerHealth::default(),
             missing_since_ms: None,
-            heard_ms: 0,
+            last_response_ms: 0,
             trial: None,
             is_replaced: false,
-            lapsed: Vec::new(),
+            expired_runs: Vec::new(),
         }
     }
 
     /// A worker that only records tell of: it can't be reached.
-    pub fn unlisted(run: &Run, lapsed_by_ms: u64) -> Self {
+    pub fn from_run_record(run: &Run, lapsed_by_ms: u64) -> Self {
         let entry = Registration {
             name: run.worker.clone(),
             address: String::new(),
@@ -187,11 +187,11 @@
 
     /// The rack that it stands in.
     pub fn rack(&self) -> &str {
-        self.entry.labels.get(1).map(String::as_str).unwrap_or_default()
+        self.registration.labels.get(1).map(String::as_str).unwrap_or_default()
     }
 
     /// Notes what its clock showed.
-    pub fn read_clock(&mut self, clock_ms: u64, now_ms: u64) {
+    pub fn record_clock(&mut self, clock_ms: u64, now_ms: u64) {
         self.clock = Some((clock_ms as i64 - now_ms as i64, now_ms));
     }
 
@@ -201,19 +201,19 @@
         let (offset_ms, read_ms) = self.clock?;
         let age_ms = now_ms.saturating_sub(read_ms);
         let lapsed_by_ms = now_ms + options::longest_lease_ms(lease_ms, age_ms);
-        self.lapsed_by_ms = self.lapsed_by_ms.max(lapsed_by_ms);
+        self.leases_expire_by_ms = self.leases_expire_by_ms.max(lapsed_by_ms);
         Some((now_ms as i64 + offset_ms + lease_ms as i64).max(0) as u64)
     }
 
     /// Gives it a run.
-    pub fn give(&mut self, key: RunKey, need: Resources, phase: Phase) {
-        if self.runs.insert(key, Given::new(need, phase)).is_none() {
+    pub fn assign(&mut self, key: RunKey, need: Resources, phase: Phase) {
+        if self.runs.insert(key, AssignedRun::new(need, phase)).is_none() {
             self.used = self.used.plus(&need);
         }
     }
 
     /// A run that a former leader gave out may crash it.
-    pub fn go_on_with_trial(&mut self, key: RunKey) {
+    pub fn resume_trial(&mut self, key: RunKey) {
         if let Some(given) = self.runs.get_mut(&key) {
             given.is_inherited = false;
             self.trial = Some(key);
@@ -221,7 +221,7 @@
     }
 
     /// Takes a run that has ended off it, if it is there.
-    pub fn take(&mut self, key: RunKey) -> Option<Given> {
+    pub fn remove_run(&mut self, key: RunKey) -> Option<AssignedRun> {
         let given = self.runs.remove(&key)?;
         self.used = self.used.minus(&given.need);
         if self.trial == Some(key) {
@@ -238,69 +238,69 @@
     }
 
     /// Makes the next look due now, unless one is under way or the worker does not answer.
-    pub fn look_at_once(&mut self, now_ms: u64) {
-        if self.failed_looks == 0 && self.look != Look::UnderWay {
-            self.look = Look::Due { at_ms: now_ms };
+    pub fn poll_at_once(&mut self, now_ms: u64) {
+        if self.failed_polls == 0 && self.poll != PollState::InFlight {
+            self.poll = PollState::Due { at_ms: now_ms };
         }
     }
 
     /// How long it has not answered, in ms.
-    pub fn silent_ms(&self, now_ms: u64) -> u64 {
-        self.silent_since_ms.map_or(0, |since_ms| now_ms.saturating_sub(since_ms))
+    pub fn unresponsive_ms(&self, now_ms: u64) -> u64 {
+        self.unresponsive_since_ms.map_or(0, |since_ms| now_ms.saturating_sub(since_ms))
     }
 
     /// Whether it has ever answered this leader.
-    pub fn was_heard(&self) -> bool {
-        self.heard_ms > 0
+    pub fn has_responded(&self) -> bool {
+        self.last_response_ms > 0
     }
 
     /// Whether the worker is not known to have lived on after the start of a run.
-    pub fn is_unclear(&self, given: &Given) -> bool {
-        given.started_ms.is_none_or(|ms| self.heard_ms < ms + HARMLESS_AFTER_MS)
+    pub fn is_unproven(&self, given: &AssignedRun) -> bool {
+        given.started_ms.is_none_or(|ms| self.last_response_ms < ms + HARMLESS_AFTER_MS)
     }
 
     /// Whether a run may be why the worker has fallen silent. What a former leader gave out may have run
     /// for long.
-    pub fn is_suspect(&self, given: &Given) -> bool {
-        given.phase != Phase::Recording && !given.is_inherited && self.is_unclear(given)
+    pub fn is_suspect(&self, given: &AssignedRun) -> bool {
+        given.phase != Phase::Recording && !given.is_inherited && self.is_unproven(given)
     }
 
     /// What is free.
-    pub fn room(&self) -> Resources {
-        self.entry.capacity.minus(&self.used)
+    pub fn free_capacity(&self) -> Resources {
+        self.registration.capacity.minus(&self.used)
     }
 
     /// What would be free once runs that take so much have ended: nothing yet, where it has shrunk below what runs there.
-    pub fn room_after(&self, freed: &Resources) -> Resources {
-        self.entry.capacity.minus(&self.used.minus(freed))
+    pub fn free_capacity_after(&self, freed: &Resources) -> Resources {
+        self.registration.capacity.minus(&self.used.minus(freed))
     }
 
     /// Whether it is ours to give work to, unless something speaks against it now.
-    pub fn is_open(&self) -> bool {
-        self.listed && self.commanded && !self.draining
+    pub fn is_available(&self) -> bool {
+        self.registered && self.accepted_epoch && !self.draining
     }
 
     /// Whether starts may be given to it now.
-    pub fn takes_starts(&self, now_ms: u64) -> bool {
-        self.is_open()
-            && self.failed_looks == 0
+    pub fn accepts_starts(&self, now_ms: u64) -> bool {
+        self.is_available()
+            && self.failed_polls == 0
             && self.trial.is_none()
-            && now_ms >= self.avoid_until_ms.max(self.suspected_until_ms)
+            && now_ms >= self.starts_paused_until_ms.max(self.suspected_until_ms)
             && !self.health.is_quarantined(now_ms)
     }
 
     /// Why it gets no work now; empty where it does.
-    pub fn held_back(&self, now_ms: u64) -> &'static str {
-        if !self.listed {
+    pub fn held_back_reason(&self, now_ms: u64) -> &'static str {
+        if !self.registered {
             return "not registered";
         }
-        if !self.commanded {
+        if !self.accepted_epoch {
             return "has not answered this leader";
         }
         if self.draining {
             return "drains";
         }
-        if self.failed_looks > 0 {
+        if self.failed_polls > 0 {
             return "does not answer";
         }
         if self.health.is_quarantined(now_ms) {
@@ -309,14 +309,14 @@
         if self.trial.is_some() {
             return "tries a task that may crash it";
         }
-        if now_ms < self.avoid_until_ms {
+        if now_ms < self.starts_paused_until_ms {
             return "has just refused or not answered";
         }
         if now_ms < self.suspected_until_ms { "suspected" } else { "" }
     }
 
     /// Starts nothing there for a while.
-    pub fn avoid(&mut self, now_ms: u64, pause_ms: u64) {
-        self.avoid_until_ms = self.avoid_until_ms.max(now_ms + pause_ms);
+    pub fn pause_starts(&mut self, now_ms: u64, pause_ms: u64) {
+        self.starts_paused_until_ms = self.starts_paused_until_ms.max(now_ms + pause_ms);
     }
 }
--- a/lilacpass-lead/tests/loss.rs
+++ b/lilacpass-lead/tests/response_loss.rs
@@ -1,12 +1,12 @@
 //! Whether answers get lost.
 
-use lilacpass_lead::loss::LossMeter;
+use lilacpass_lead::response_loss::ResponseLossMeter;
 
 #[test]
 fn a_few_lost_answers_are_no_sign() {
-    let mut loss = LossMeter::default();
+    let mut loss = ResponseLossMeter::default();
     assert!(!loss.is_lossy(0));
-    [100, 200, 300].into_iter().for_each(|ms| loss.lost(ms));
+    [100, 200, 300].into_iter().for_each(|ms| loss.record_lost_response(ms));
     assert!(!loss.is_lossy(300));
 }
 
@@ -14,8 +14,8 @@
 /// as its look waited.
 #[test]
 fn many_lost_answers_are_noticed_and_forgotten_again() {
-    let mut loss = LossMeter::default();
-    [100, 500, 900, 1_300].into_iter().for_each(|ms| loss.lost(ms));
+    let mut loss = ResponseLossMeter::default();
+    [100, 500, 900, 1_300].into_iter().for_each(|ms| loss.record_lost_response(ms));
     assert!(loss.is_lossy(1_300));
     assert!(loss.is_lossy(2_099));
     assert!(!loss.is_lossy(2_100), "the first of them is two seconds old");
@@ -23,7 +23,7 @@
 
 #[test]
 fn lost_answers_that_are_far_apart_are_no_sign() {
-    let mut loss = LossMeter::default();
-    (0..20).for_each(|n| loss.lost(n * 700));
+    let mut loss = ResponseLossMeter::default();
+    (0..20).for_each(|n| loss.record_lost_response(n * 700));
     assert!(!loss.is_lossy(19 * 700));
 }
--- a/lilacpass-lead/tests/rooms.rs
+++ b/lilacpass-lead/tests/rooms.rs
@@ -26,7 +26,7 @@
         draining: false,
     };
     let mut worker = Worker::new(entry, 0);
-    (worker.listed, worker.commanded) = (true, true);
+    (worker.registered, worker.accepted_epoch) = (true, true);
     worker
 }
 
@@ -45,7 +45,9 @@
     need: Resources,
 ) -> Vec<Worker> {
     let fits = |worker: &&Worker| {
-        worker.is_open() && worker.entry.service == service && need.fits(&worker.room())
+        worker.is_available()
+            && worker.registration.service == service
+            && need.fits(&worker.free_capacity())
     };
     workers.values().filter(fits).cloned().collect()
 }
@@ -65,11 +67,11 @@
         } else {
             let changed = workers.entry(name).or_insert_with(|| worker(number));
             changed.draining = change % 13 == 12;
-            let free = changed.room();
+            let free = changed.free_capacity();
             if need(change).fits(&free) {
-                changed.give(run(change), need(change), Phase::Ordered);
+                changed.assign(run(change), need(change), Phase::Ordered);
             } else if let Some(&first) = changed.runs.keys().next() {
-                changed.take(first);
+                changed.remove_run(first);
             }
             rooms.note(changed);
         }
@@ -82,7 +84,7 @@
 
 fn check(workers: &BTreeMap<WorkerName, Worker>, rooms: &Rooms, service: &str, wanted: Resources) {
     let roomy = with_room(workers, service, wanted);
-    let names: Vec<&WorkerName> = roomy.iter().map(|worker| &worker.entry.name).collect();
+    let names: Vec<&WorkerName> = roomy.iter().map(|worker| &worker.registration.name).collect();
     assert_eq!(rooms.with_room(service, &wanted, names.len()), Some(names.clone()));
     if !names.is_empty() {
         assert_eq!(rooms.with_room(service, &wanted, names.len() - 1), None, "too many");
@@ -91,7 +93,7 @@
         let step = Default::default();
         let mut best: Vec<&Worker> = roomy.iter().collect();
         best.sort_by_key(|worker| Reverse(place::Score::new(worker, &step, home)));
-        let best: Vec<&WorkerName> = best.iter().map(|worker| &worker.entry.name).collect();
+        let best: Vec<&WorkerName> = best.iter().map(|worker| &worker.registration.name).collect();
         let preferred: Vec<&WorkerName> = rooms.preferred(service, home, wanted).collect();
         assert_eq!(preferred, best, "home {home:?}");
     }
--- a/lilacpass-lead/tests/world/cost.rs
+++ b/lilacpass-lead/tests/world/cost.rs
@@ -5,7 +5,7 @@
 
 use std::mem;
 
-use lilacpass_lead::{Effect, Event, event::Answer, leader::Work};
+use lilacpass_lead::{Effect, Event, event::Answer, leader::SchedulingWork};
 
 use super::{Action, Member, TICK_MS, World};
 
@@ -53,8 +53,8 @@
     }
 
     /// What deciding has taken between two readings of what was done.
-    pub fn of_work(&self, before: Work, after: Work) -> u64 {
-        (after.tries - before.tries) * self.try_us
+    pub fn of_work(&self, before: SchedulingWork, after: SchedulingWork) -> u64 {
+        (after.steps_examined - before.steps_examined) * self.try_us
     }
 }
 
--- a/lilacpass-node/src/leading.rs
+++ b/lilacpass-node/src/leading.rs
@@ -224,7 +224,7 @@
         let pressure = self.leader.pressure();
         let behind = Duration::from_millis(pressure.behind_ms());
         self.node.metrics.pressure(pressure.level(), behind);
-        let tally = self.leader.take_tally();
+        let tally = self.leader.take_counters();
         self.node.metrics.happened(&tally);
     }
 
@@ -248,7 +248,7 @@
         if relays.is_empty() {
             return None;
         }
-        let data_centre = self.leader.answering_worker(worker)?;
+        let data_centre = self.leader.responsive_worker_data_centre(worker)?;
         relays.home(worker, data_centre)
     }
 
--- a/lilacpass-node/src/metrics.rs
+++ b/lilacpass-node/src/metrics.rs
@@ -7,7 +7,7 @@
 use lilacpass_jobs::failure::Cause;
 use lilacpass_lead::{
     pressure::Level,
-    tally::{Loss, Tally},
+    counters::{WorkerLoss, Counters},
 };
 use lilacpass_platform::server::Reply;
 use opentelemetry::{
@@ -166,8 +166,8 @@
     }
 
     /// What has happened in the cell since this was last told.
-    pub fn happened(&self, tally: &Tally) {
-        for loss in Loss::ALL {
+    pub fn happened(&self, tally: &Counters) {
+        for loss in WorkerLoss::ALL {
             let how = KeyValue::new("how", loss.as_str());
             self.workers_lost.add(tally.workers_lost(loss), &[how]);
         }
