--- a/lilacpass-lead/tests/capacity.rs
+++ b/lilacpass-lead/tests/capacity.rs
@@ -48,7 +48,7 @@
     world.run(3_000);
     let token = world.submit(1, plan(&[step(2, 2_000, 500)]), queue("quick", 0));
     world.run(3_000);
-    assert_eq!(world.answer(token), Some(&Answer::Done), "it is accepted");
+    assert_eq!(world.response(token), Some(&Answer::Done), "it is accepted");
     (0..2).for_each(|at| world.set_capacity(at, WHOLE));
     world.run(8_000);
     assert_eq!(outcome(&world, 1), Some(Outcome::Completed));
@@ -102,7 +102,7 @@
     world.submit(1, plan(&[step(6, 2_000, 4_000)]), queue("long", 1));
     world.run(1_000);
     (0..2).for_each(|at| world.set_capacity(at, cores(2)));
-    world.current().alive = false;
+    world.current_instance().alive = false;
     world.run(600);
     world.take_over();
     world.submit(2, plan(&[step(6, 2_000, 1_000)]), queue("quick", 0));
--- a/lilacpass-lead/tests/crashes.rs
+++ b/lilacpass-lead/tests/crashes.rs
@@ -87,7 +87,8 @@
 fn assert_given_up(world: &mut World) {
     assert_eq!(outcome(world, CRASHING_JOB), Some(Outcome::Failed));
     let now = world.now();
-    let why = world.current().leader.explain(JobKey(CRASHING_JOB), now).expect("it is known");
+    let why =
+        world.current_instance().leader.explain(JobKey(CRASHING_JOB), now).expect("it is known");
     assert!(why.failure.contains("workers crashed under task"), "{}", why.failure);
 }
 
@@ -117,7 +118,7 @@
         took_ms.sort_unstable();
         assert!(took_ms[took_ms.len() * 9 / 10] <= UNDISTURBED_MS, "{took_ms:?}");
         assert!(took_ms[took_ms.len() - 1] <= STRUCK_MS, "{took_ms:?}");
-        let struck = world.crashes.struck.iter().map(|task| task.step.job);
+        let struck = world.crashes.affected.iter().map(|task| task.step.job);
         let struck: BTreeSet<JobKey> = struck.collect();
         for job in QUICK_JOBS.map(JobKey).filter(|job| !struck.contains(job)) {
             let took_ms = self::took_ms(&world, job);
@@ -165,12 +166,12 @@
     world.submit(CRASHING_JOB, plan(&[step(1, 1_000, 1_000)]), queue("quick", 0));
     for _ in 0..12 {
         world.run(4_500);
-        world.current().alive = false;
+        world.current_instance().alive = false;
         world.take_over();
     }
     world.run(8_000);
     assert_given_up(&mut world);
-    world.current().alive = false;
+    world.current_instance().alive = false;
     world.take_over();
     world.run(1_000);
     assert_given_up(&mut world);
@@ -193,7 +194,7 @@
             }
             let lives_ms = 1_500 + world.random.below(3_000);
             world.run(lives_ms);
-            world.current().alive = false;
+            world.current_instance().alive = false;
             world.run(600);
             world.take_over();
         }
@@ -234,11 +235,11 @@
         world.run(1_000);
         let hosts = hosts_of(&world, task(1, 0));
         for &at in &hosts {
-            world.workers[at].cut = true;
-            world.unlist(at);
+            world.workers[at].unreachable = true;
+            world.unregister(at);
         }
         world.run(9_000);
-        hosts.iter().for_each(|&at| world.workers[at].cut = false);
+        hosts.iter().for_each(|&at| world.workers[at].unreachable = false);
     }
     world.run(20_000);
     assert_eq!(outcome(&world, 1), Some(Outcome::Completed));
@@ -275,7 +276,7 @@
         let host = hosts_of(&world, task(1, 0))[0];
         world.crash_worker(host);
         world.run(4_500);
-        world.unlist(host);
+        world.unregister(host);
         world.run(6_500);
         let job = world.store.job(JobKey(1)).expect("it is stored");
         let known = job.tasks().map(|task| task.crashes.known).max();
@@ -297,7 +298,7 @@
         // The look that was under way is answered, and the next one is not yet known to have failed.
         world.run(300);
         let until_ms = world.now_ms + stands_ms;
-        world.current().paused_until_ms = until_ms;
+        world.current_instance().paused_until_ms = until_ms;
         world.run(stands_ms + 8_000);
         let job = world.store.job(JobKey(CRASHING_JOB)).expect("it is stored");
         let known = job.tasks().map(|task| task.crashes.known).max();
@@ -313,7 +314,7 @@
     for round in 0..4 {
         world.run(150);
         let until_ms = world.now_ms + 2_500;
-        world.current().paused_until_ms = until_ms;
+        world.current_instance().paused_until_ms = until_ms;
         crash_all(&mut world, |number| number % 3 == round % 3);
         world.run(4_000 + 100 * round as u64);
     }
@@ -353,7 +354,7 @@
     world.submit(NEIGHBOUR, plan(&[step(1, 1_000, 3_000)]), queue("quick", 0));
     run_until(&mut world, |world| !hosts_of(world, task(NEIGHBOUR, 0)).is_empty());
     // Nobody sees when the first worker crashes, and so not that it did soon after a start.
-    world.current().alive = false;
+    world.current_instance().alive = false;
     world.run(600);
     world.take_over();
     run_until(&mut world, |world| outcome(world, CRASHING_JOB) == Some(Outcome::Failed));
@@ -417,13 +418,13 @@
     for _ in 0..2 {
         let hosts = hosts_of(&world, task(1, 0));
         assert_eq!(hosts.len(), 1, "one run, since its worker answers");
-        world.workers[hosts[0]].cut = true;
+        world.workers[hosts[0]].unreachable = true;
         world.run(2_000);
         let copies = hosts_of(&world, task(1, 0));
         assert_eq!(copies.len(), 2, "a copy runs beside the one that may be lost");
-        copies.iter().for_each(|&at| world.workers[at].cut = true);
+        copies.iter().for_each(|&at| world.workers[at].unreachable = true);
         world.run(8_000);
-        copies.iter().for_each(|&at| world.workers[at].cut = false);
+        copies.iter().for_each(|&at| world.workers[at].unreachable = false);
         world.run(1_000);
     }
 }
--- a/lilacpass-lead/tests/fuzz.rs
+++ b/lilacpass-lead/tests/fuzz.rs
@@ -49,26 +49,26 @@
             }
             4 => {
                 if let Some((key, _)) = jobs.get(usize::from(who) % jobs.len().max(1)) {
-                    world.ask(Ask::Cancel(JobKey(*key)));
+                    world.request(Ask::Cancel(JobKey(*key)));
                 }
             }
             5 => {
                 let dies = much % 2 == 0;
-                let member = world.current();
+                let member = world.current_instance();
                 member.alive = !dies;
                 world.take_over();
             }
             6 => {
                 let until_ms = world.now_ms + u64::from(much) * 30;
-                world.current().paused_until_ms = until_ms;
+                world.current_instance().paused_until_ms = until_ms;
                 if who % 2 == 0 {
                     world.take_over();
                 }
             }
             7 => world.store.down = !world.store.down,
-            8 => world.workers[worker].cut = !world.workers[worker].cut,
+            8 => world.workers[worker].unreachable = !world.workers[worker].unreachable,
             9 if world.workers[worker].alive => world.replace_worker(worker),
-            10 => world.lose_percent = u64::from(much) % 40,
+            10 => world.lost_order_percent = u64::from(much) % 40,
             11 if much % 4 == 0 => {
                 let room = Resources::new(u64::from(who) * 31, 1_000, 0, 0);
                 world.set_capacity(worker, room);
@@ -80,15 +80,15 @@
         world.run(u64::from(much) * 10);
     }
     ask_of_jobs(&mut world, jobs.len() as u64);
-    world.lose_percent = 0;
+    world.lost_order_percent = 0;
     world.store.down = false;
-    world.workers.iter_mut().for_each(|worker| worker.cut = false);
+    world.workers.iter_mut().for_each(|worker| worker.unreachable = false);
     (0..world.workers.len()).for_each(|at| world.set_capacity(at, CAPACITY));
-    world.current().paused_until_ms = 0;
+    world.current_instance().paused_until_ms = 0;
     world.run(SETTLE_MS);
     for job in world.store.jobs() {
         let now = world.now();
-        let why = world.current().leader.explain(job.key, now);
+        let why = world.current_instance().leader.explain(job.key, now);
         assert_ne!(
             job.outcome,
             lilacpass_jobs::Outcome::Open,
@@ -101,10 +101,10 @@
 /// Asks for what the small cell judges the answers of.
 fn ask_of_jobs(world: &mut World, jobs: u64) {
     for queue in ["quick", "advised"] {
-        world.ask(Ask::Pending { queue: queue.to_owned() });
+        world.request(Ask::Pending { queue: queue.to_owned() });
     }
     for key in 1..=jobs {
-        world.ask(Ask::State(JobKey(key)));
+        world.request(Ask::State(JobKey(key)));
     }
 }
 
--- a/lilacpass-lead/tests/overload.rs
+++ b/lilacpass-lead/tests/overload.rs
@@ -11,7 +11,7 @@
 
 /// With these a job of the plays takes the leader about 10 ms: one try, two starts, two ends. Looks at 60 idle
 /// workers take it a tenth of its time.
-const COSTS: Costs = Costs { event_us: 200, look_us: 1_000, try_us: 4_000, ask_us: 50 };
+const COSTS: Costs = Costs { event_us: 200, poll_us: 1_000, step_us: 4_000, request_us: 50 };
 const WORKERS: usize = 60;
 /// Jobs a second that the leader can decide beside its looks.
 const CAN_DECIDE: u64 = 90;
@@ -38,7 +38,7 @@
 
 /// Nothing that ran on a sound worker was given up.
 fn judge_runs(world: &World) {
-    let lapsed: u64 = world.workers.iter().map(|worker| worker.lapsed).sum();
+    let lapsed: u64 = world.workers.iter().map(|worker| worker.expired_run_count).sum();
     assert_eq!(lapsed, 0, "leases lapsed on sound workers");
     let stopped: u64 = world.workers.iter().map(|worker| worker.stopped).sum();
     assert_eq!(stopped, 0, "sound runs were stopped");
@@ -76,13 +76,13 @@
     let sent = hand_in(&mut world, CAN_DECIDE * times);
     world.run(DONE_WITHIN_MS);
     let answers: BTreeMap<u64, Answer> =
-        world.answers.iter().map(|(token, answer)| (token.0, answer.clone())).collect();
+        world.responses.iter().map(|(token, answer)| (token.0, answer.clone())).collect();
     judge_runs(&world);
     let mut done = 0;
     for hand_in in &sent {
         let key = hand_in.key;
         let answer = answers.get(&hand_in.token.0);
-        let answer_ms = world.answered_ms.get(&hand_in.token.0).map(|ms| ms - hand_in.sent_ms);
+        let answer_ms = world.responded_ms.get(&hand_in.token.0).map(|ms| ms - hand_in.sent_ms);
         let job = world.store.job(JobKey(key));
         match answer {
             Some(Answer::Refused { retry_after_ms, .. }) => {
@@ -128,7 +128,7 @@
     const LONG_TASK_MS: u64 = 1_500;
     let mut world = cell();
     world.costs = None;
-    let jobs = WORKERS as u64 + times * ALL_INTERVAL_US / COSTS.try_us;
+    let jobs = WORKERS as u64 + times * ALL_INTERVAL_US / COSTS.step_us;
     for key in 1..=jobs {
         world.submit(key, plan(&[step(1, 8_000, LONG_TASK_MS as u32)]), queue("long", 1));
     }
@@ -223,13 +223,13 @@
     world.submit(100_000, plan(&[long]), queue("long", 1));
     world.run(1_000);
     hand_in(&mut world, CAN_DECIDE * 20);
-    let state = world.ask(Ask::State(JobKey(100_000)));
-    let cancel = world.ask(Ask::Cancel(JobKey(100_000)));
+    let state = world.request(Ask::State(JobKey(100_000)));
+    let cancel = world.request(Ask::Cancel(JobKey(100_000)));
     let repeated = world.submit(100_000, plan(&[step(1, 1_000, 60_000)]), queue("long", 1));
     world.run(REFUSED_WITHIN_MS);
-    assert!(matches!(world.answer(state), Some(Answer::State(_))), "{:?}", world.answer(state));
-    assert_eq!(world.answer(cancel), Some(&Answer::Done));
-    assert_eq!(world.answer(repeated), Some(&Answer::Done), "it was accepted, and stays so");
+    assert!(matches!(world.response(state), Some(Answer::State(_))), "{:?}", world.response(state));
+    assert_eq!(world.response(cancel), Some(&Answer::Done));
+    assert_eq!(world.response(repeated), Some(&Answer::Done), "it was accepted, and stays so");
     world.run(PATIENCE_MS);
     let outcome = world.store.job(JobKey(100_000)).map(|job| job.outcome);
     assert_eq!(outcome, Some(Outcome::Cancelled));
@@ -243,7 +243,7 @@
     world.run(DONE_WITHIN_MS);
     judge_runs(&world);
     for HandIn { key, token, .. } in sent {
-        assert_eq!(world.answer(token), Some(&Answer::Done), "job {key}");
+        assert_eq!(world.response(token), Some(&Answer::Done), "job {key}");
         let outcome = world.store.job(JobKey(key)).map(|job| job.outcome);
         assert_eq!(outcome, Some(Outcome::Completed), "job {key}");
     }
--- a/lilacpass-lead/tests/placement.rs
+++ b/lilacpass-lead/tests/placement.rs
@@ -152,7 +152,7 @@
     world.submit(2, plan(&[accelerated(1, 8, 2_000)]), advised("match", 1, 490.0, 7.0));
     world.run(20_000);
     let calls: Vec<usize> = world
-        .calls_for_advice
+        .advice_calls
         .iter()
         .filter(|(step, _)| step.job == JobKey(2))
         .map(|(_, workers)| *workers)
--- a/lilacpass-lead/tests/same_decisions.rs
+++ b/lilacpass-lead/tests/same_decisions.rs
@@ -33,12 +33,12 @@
         let worker = random.below(WORKERS as u64) as usize;
         match random.below(60) {
             0 => {
-                world.ask(Ask::Cancel(JobKey(random.below(key) + 1)));
+                world.request(Ask::Cancel(JobKey(random.below(key) + 1)));
             }
-            1 => world.workers[worker].cut = !world.workers[worker].cut,
+            1 => world.workers[worker].unreachable = !world.workers[worker].unreachable,
             2 => world.store.down = !world.store.down,
             3 if random.percent(20) => world.take_over(),
-            4 => world.lose_percent = random.below(10),
+            4 => world.lost_order_percent = random.below(10),
             5 if world.workers[worker].alive => world.replace_worker(worker),
             _ => {
                 let plan = some_plan(&mut random);
--- a/lilacpass-lead/tests/stories.rs
+++ b/lilacpass-lead/tests/stories.rs
@@ -28,7 +28,7 @@
     world.submit(1, plan(&[lasting]), queue("watch", 1));
     world.run(1_000);
     let host = world.workers.iter().position(|w| !w.runs.is_empty()).expect("the task runs");
-    world.current().alive = false;
+    world.current_instance().alive = false;
     world.workers[host].alive = false;
     world.run(1_000);
     world.take_over();
@@ -45,9 +45,9 @@
     world.submit(1, plan(&[step(1, 4_000, 3_000)]), queue("quick", 0));
     world.run(1_000);
     let host = world.workers.iter().position(|w| !w.runs.is_empty()).expect("the task runs");
-    world.workers[host].cut = true;
+    world.workers[host].unreachable = true;
     world.run(8_000);
-    let elsewhere = world.workers.iter().filter(|w| !w.cut && !w.runs.is_empty()).count();
+    let elsewhere = world.workers.iter().filter(|w| !w.unreachable && !w.runs.is_empty()).count();
     assert_eq!(elsewhere, 1, "it runs elsewhere eight seconds later");
 }
 
@@ -59,7 +59,7 @@
     let lasting = v1::WorkStep { lasting: true, ..step(1, 4_000, 500) };
     world.submit(1, plan(&[lasting]), queue("watch", 1));
     world.run(1_000);
-    world.workers.iter_mut().for_each(|worker| worker.cut = true);
+    world.workers.iter_mut().for_each(|worker| worker.unreachable = true);
     world.take_over();
     world.run(4_000);
     let job = world.store.job(JobKey(1)).expect("the job is stored");
@@ -81,8 +81,8 @@
     let host = world.workers.iter().position(|w| !w.runs.is_empty()).expect("the task runs");
     let there = world.workers[host].data_centre;
     for worker in world.workers.iter_mut().filter(|worker| worker.data_centre == there) {
-        worker.cut = true;
-        worker.listed = false;
+        worker.unreachable = true;
+        worker.registered = false;
     }
     world.take_over();
     world.run(6_000);
@@ -98,7 +98,7 @@
     world.submit(1, plan(&[step(1, 1_000, 2_000)]), queue("audit", 1));
     world.run(1_000);
     let until_ms = world.now_ms + 8_000;
-    world.current().paused_until_ms = until_ms;
+    world.current_instance().paused_until_ms = until_ms;
     world.run(12_000);
     assert_eq!(outcome(&world, 1), Some(Outcome::Completed));
 }
@@ -112,7 +112,7 @@
     world.store.down = true;
     let token = world.submit(1, plan(&[step(1, 1_000, 100)]), queue("quick", 0));
     world.run(1_500);
-    assert!(matches!(world.answer(token), Some(Answer::Refused { .. })), "refused");
+    assert!(matches!(world.response(token), Some(Answer::Refused { .. })), "refused");
     world.store.down = false;
     world.run(5_000);
     assert_eq!(outcome(&world, 1), None, "what was refused never runs");
@@ -176,7 +176,7 @@
     // The workers that are asked about first; four of them are allowed.
     let first = ["w-0", "w-1", "w-10", "w-11", "w-12", "w-13", "w-14", "w-15"];
     for worker in &mut world.workers {
-        worker.spoils = first.contains(&worker.name.as_str());
+        worker.fails_all_runs = first.contains(&worker.name.as_str());
     }
     world.submit(1, plan(&[step(1, 8_000, 5)]), advised);
     world.run(3_000);
--- a/lilacpass-lead/tests/waiting_jobs.rs
+++ b/lilacpass-lead/tests/waiting_jobs.rs
@@ -18,9 +18,9 @@
 }
 
 fn ask(world: &mut World, ask: Ask) -> Answer {
-    let token = world.ask(ask);
+    let token = world.request(ask);
     world.run(20);
-    world.answer(token).cloned().expect("an answer within 20 ms")
+    world.response(token).cloned().expect("an answer within 20 ms")
 }
 
 fn count(world: &mut World) -> Answer {
@@ -32,7 +32,7 @@
 }
 
 fn set_cut(world: &mut World, cut: bool) {
-    world.workers.iter_mut().for_each(|worker| worker.cut = cut);
+    world.workers.iter_mut().for_each(|worker| worker.unreachable = cut);
 }
 
 /// Four checks have waited for five seconds, and the count of waiting checks says 0. Their leader recorded
@@ -45,7 +45,7 @@
     set_cut(&mut world, true);
     (1..=4).for_each(|key| submit(&mut world, key));
     world.run(300);
-    world.current().alive = false;
+    world.current_instance().alive = false;
     world.run(1_000);
     world.take_over();
     world.run(3_000);
@@ -116,7 +116,7 @@
     submit(&mut world, 2);
     world.run(300);
     set_cut(&mut world, true);
-    world.current().alive = false;
+    world.current_instance().alive = false;
     world.take_over();
     world.run(1_000);
     assert_eq!(state(&mut world, 1), Answer::State(JobState::Running));
@@ -128,7 +128,7 @@
     let mut world = four_workers();
     submit(&mut world, 1);
     world.run(300);
-    world.current().alive = false;
+    world.current_instance().alive = false;
     world.take_over();
     world.run(300);
     assert_eq!(state(&mut world, 1), Answer::State(JobState::Running));
@@ -144,7 +144,7 @@
     world.submit(1, plan(&[short, long]), queue(QUEUE, 0));
     world.run(60);
     assert_eq!(world.workers.iter().map(|worker| worker.runs.len()).sum::<usize>(), 1);
-    world.current().alive = false;
+    world.current_instance().alive = false;
     world.run(1_000);
     world.workers.iter_mut().for_each(|worker| worker.draining = true);
     world.take_over();
@@ -184,7 +184,7 @@
     submit(&mut world, 2);
     world.run(300);
     let now = world.now();
-    let leader = &world.current().leader;
+    let leader = &world.current_instance().leader;
     let status = leader.status(now);
     assert_eq!((status.open_jobs[QUEUE], status.not_begun_jobs[QUEUE]), (2, 1));
     let has_begun = |key| leader.explain(JobKey(key), now).is_some_and(|job| job.begun);
--- a/lilacpass-lead/tests/world/cost.rs
+++ b/lilacpass-lead/tests/world/cost.rs
@@ -7,7 +7,7 @@
 
 use lilacpass_lead::{Effect, Event, event::Answer, leader::SchedulingWork};
 
-use super::{Action, Member, TICK_MS, World};
+use super::{Action, LeaderInstance, TICK_MS, World};
 
 /// What operations take, in microseconds of made-up time.
 #[derive(Clone, Copy, Debug)]
@@ -15,11 +15,11 @@
     /// Any event but those below.
     pub event_us: u64,
     /// A look: half when it is sent, half when it is answered.
-    pub look_us: u64,
+    pub poll_us: u64,
     /// One step that is looked at for room, or for workers to ask about.
-    pub try_us: u64,
+    pub step_us: u64,
     /// A request of a caller, with its answer.
-    pub ask_us: u64,
+    pub request_us: u64,
 }
 
 /// The loop around one leader.
@@ -37,8 +37,8 @@
     /// What it takes to take in an event.
     pub fn of_event(&self, event: &Event) -> u64 {
         match event {
-            Event::Looked { .. } => self.look_us / 2,
-            Event::Asked { .. } => self.ask_us,
+            Event::Looked { .. } => self.poll_us / 2,
+            Event::Asked { .. } => self.request_us,
             _ => self.event_us,
         }
     }
@@ -46,7 +46,7 @@
     /// What it takes to carry out an effect.
     pub fn of_effect(&self, effect: &Effect) -> u64 {
         match effect {
-            Effect::Look { .. } => self.look_us / 2,
+            Effect::Look { .. } => self.poll_us / 2,
             Effect::Reply { answer: Answer::Refused { .. }, .. } => 0,
             _ => self.event_us,
         }
@@ -54,14 +54,14 @@
 
     /// What deciding has taken between two readings of what was done.
     pub fn of_work(&self, before: SchedulingWork, after: SchedulingWork) -> u64 {
-        (after.steps_examined - before.steps_examined) * self.try_us
+        (after.steps_examined - before.steps_examined) * self.step_us
     }
 }
 
 impl World {
     /// Has a member look into its inbox once it is free.
     pub(super) fn wake(&mut self, member: usize) {
-        let turns = &mut self.members[member].turns;
+        let turns = &mut self.instances[member].event_loop;
         if mem::replace(&mut turns.is_woken, true) {
             return;
         }
@@ -70,10 +70,10 @@
     }
 
     /// A member takes in all that has come, and decides; both take time.
-    pub(super) fn round(&mut self, member: usize) {
+    pub(super) fn run_round(&mut self, member: usize) {
         let Some(costs) = self.costs else { return };
         let now = self.now();
-        let Member { leader, turns, .. } = &mut self.members[member];
+        let LeaderInstance { leader, event_loop: turns, .. } = &mut self.instances[member];
         turns.is_woken = false;
         let before = leader.work();
         let mut cost_us = 0;
@@ -101,11 +101,17 @@
     }
 
     /// A look that waited is answered with what there is now.
-    pub(super) fn look_ends(&mut self, member: usize, at: usize, effect: &Effect, sent_ms: u64) {
+    pub(super) fn answer_waiting_poll(
+        &mut self,
+        member: usize,
+        at: usize,
+        effect: &Effect,
+        sent_ms: u64,
+    ) {
         let Effect::Look { worker, forget_upto, extra, .. } = effect else { return };
-        let epoch = self.members[member].epoch;
-        let result = self.workers[at].look(epoch, None, *forget_upto);
+        let epoch = self.instances[member].epoch;
+        let result = self.workers[at].poll(epoch, None, *forget_upto);
         let event = Event::Looked { worker: worker.clone(), sent_ms, extra: *extra, result };
-        self.plan(1, Action::Tell { member, event });
+        self.plan(1, Action::Deliver { member, event });
     }
 }
--- a/lilacpass-lead/tests/world/crashes.rs
+++ b/lilacpass-lead/tests/world/crashes.rs
@@ -25,22 +25,22 @@
     /// How long workers that crash are away, if not as long as usual.
     pub away_ms: Option<u64>,
     /// Workers that crashed under each of them.
-    pub under: BTreeMap<TaskName, u32>,
+    pub crash_counts: BTreeMap<TaskName, u32>,
     /// Tasks that ran on a worker when it crashed.
-    pub struck: BTreeSet<TaskName>,
+    pub affected: BTreeSet<TaskName>,
     /// Starts of each by members in touch, since too many workers had crashed under it.
     starts_since: BTreeMap<TaskName, u32>,
     /// When something last was amiss that takes members out of touch.
-    amiss_ms: u64,
+    disturbed_ms: u64,
 }
 
 impl Crashes {
     /// Judges a start.
-    fn judge(&mut self, task: TaskName, now_ms: u64) {
-        if now_ms < self.amiss_ms + TOUCH_MS {
+    fn check_start(&mut self, task: TaskName, now_ms: u64) {
+        if now_ms < self.disturbed_ms + TOUCH_MS {
             return;
         }
-        if self.under.get(&task).is_none_or(|&crashes| crashes < CRASHES) {
+        if self.crash_counts.get(&task).is_none_or(|&crashes| crashes < CRASHES) {
             return;
         }
         let starts = self.starts_since.entry(task).or_default();
@@ -53,23 +53,23 @@
 
     /// Workers that crashed under tasks that crash them.
     pub fn total(&self) -> u32 {
-        self.under.values().sum()
+        self.crash_counts.values().sum()
     }
 }
 
 impl World {
     /// Notes what takes members out of touch.
-    pub(super) fn note_amiss(&mut self) {
-        let is_paused = (0..self.members.len()).any(|member| self.is_paused(member));
-        if is_paused || self.store.down || self.lose_percent > 0 {
-            self.crashes.amiss_ms = self.now_ms;
+    pub(super) fn record_disturbance(&mut self) {
+        let is_paused = (0..self.instances.len()).any(|member| self.is_paused(member));
+        if is_paused || self.store.down || self.lost_order_percent > 0 {
+            self.crashes.disturbed_ms = self.now_ms;
         }
     }
 
     /// A task is started: if it is one that crashes its worker, that will.
-    pub(super) fn may_crash(&mut self, at: usize, task: TaskName) {
+    pub(super) fn schedule_crash(&mut self, at: usize, task: TaskName) {
         let Some(&after_ms) = self.crashes.crashing.get(&task) else { return };
-        self.crashes.judge(task, self.now_ms);
+        self.crashes.check_start(task, self.now_ms);
         let worker = self.workers[at].name.clone();
         self.plan(after_ms, Action::Crash { worker, task });
     }
@@ -79,7 +79,7 @@
         let runs =
             |w: &super::worker::Worker| w.alive && w.name == *worker && w.runs.contains_key(&task);
         let Some(at) = self.workers.iter().position(runs) else { return };
-        *self.crashes.under.entry(task).or_default() += 1;
+        *self.crashes.crash_counts.entry(task).or_default() += 1;
         self.crash_worker(at);
     }
 
@@ -88,7 +88,7 @@
         self.workers[at].alive = false;
         self.workers[at].stale_until_ms = self.now_ms + STALE_MS;
         let lost = std::mem::take(&mut self.workers[at].runs);
-        self.crashes.struck.extend(lost.into_keys());
+        self.crashes.affected.extend(lost.into_keys());
         let away_ms = self.crashes.away_ms.unwrap_or(AWAY_MS);
         self.plan(away_ms, Action::Return { at });
     }
--- a/lilacpass-lead/tests/world/mod.rs
+++ b/lilacpass-lead/tests/world/mod.rs
@@ -7,9 +7,9 @@
 
 #![allow(dead_code, unreachable_pub)]
 
-pub(crate) mod answers;
 pub(crate) mod cost;
 pub(crate) mod crashes;
+pub(crate) mod requests;
 pub(crate) mod store;
 pub(crate) mod worker;
 
@@ -26,9 +26,9 @@
 };
 use lilacpass_schema::v1;
 
-use answers::Asked;
 use cost::{Costs, Loop};
 use crashes::Crashes;
+use requests::Requests;
 use store::Store;
 use worker::Worker;
 
@@ -64,13 +64,13 @@
 }
 
 /// One leader, in force or not.
-pub struct Member {
+pub struct LeaderInstance {
     pub leader: Leader,
     pub epoch: u64,
     pub alive: bool,
     pub paused_until_ms: u64,
     next_sequence: u64,
-    turns: Loop,
+    event_loop: Loop,
 }
 
 #[derive(Debug)]
@@ -78,7 +78,7 @@
     /// An effect arrives at its receiver.
     Arrive { member: usize, effect: Effect, answered: bool },
     /// An event reaches a leader.
-    Tell { member: usize, event: Event },
+    Deliver { member: usize, event: Event },
     /// A leader ticks.
     Tick { member: usize },
     /// A member sends its renewal.
@@ -86,7 +86,7 @@
     /// A member whose operations take time is free again.
     Round { member: usize },
     /// A look that waited for an end is answered.
-    LookEnds { member: usize, at: usize, effect: Effect, sent_ms: u64 },
+    PollEnds { member: usize, at: usize, effect: Effect, sent_ms: u64 },
     /// A task crashes the worker that started it.
     Crash { worker: WorkerName, task: TaskName },
     /// A worker that crashed is back as another.
@@ -99,19 +99,19 @@
     pub random: Random,
     pub store: Store,
     pub workers: Vec<Worker>,
-    pub members: Vec<Member>,
-    pub answers: Vec<(Token, Answer)>,
+    pub instances: Vec<LeaderInstance>,
+    pub responses: Vec<(Token, Answer)>,
     /// What was asked, and what workers have begun.
-    pub asked: Asked,
+    pub requests: Requests,
     /// Tasks that crash their workers.
     pub crashes: Crashes,
     /// Calls for advice: the step, and how many workers were named.
-    pub calls_for_advice: Vec<(StepName, usize)>,
+    pub advice_calls: Vec<(StepName, usize)>,
     /// Share of orders, in percent, that get no answer and may be carried out late.
-    pub lose_percent: u64,
+    pub lost_order_percent: u64,
     pub options: Options,
     /// When each request was answered.
-    pub answered_ms: BTreeMap<u64, u64>,
+    pub responded_ms: BTreeMap<u64, u64>,
     /// What the operations of a leader take; none where they take no time.
     pub costs: Option<Costs>,
     /// Of all that leaders asked for, and when.
@@ -130,14 +130,14 @@
             random: Random(seed | 1),
             store: Store::default(),
             workers,
-            members: Vec::new(),
-            answers: Vec::new(),
-            asked: Asked::default(),
+            instances: Vec::new(),
+            responses: Vec::new(),
+            requests: Requests::default(),
             crashes: Crashes::default(),
-            calls_for_advice: Vec::new(),
-            lose_percent: 0,
+            advice_calls: Vec::new(),
+            lost_order_percent: 0,
             options: Options::default(),
-            answered_ms: BTreeMap::new(),
+            responded_ms: BTreeMap::new(),
             costs: None,
             effects: DefaultHasher::new(),
             actions: EventQueue::default(),
@@ -152,8 +152,8 @@
     }
 
     /// The member that the store lets write.
-    pub fn current(&mut self) -> &mut Member {
-        self.members.last_mut().expect("a member leads")
+    pub fn current_instance(&mut self) -> &mut LeaderInstance {
+        self.instances.last_mut().expect("a member leads")
     }
 
     /// Another member takes over, whether the former one lives or not.
@@ -161,28 +161,28 @@
         let epoch = self.store.close();
         let jobs = self.store.jobs();
         let leader = Leader::new(self.options.clone(), jobs, self.now());
-        self.members.push(Member {
+        self.instances.push(LeaderInstance {
             leader,
             epoch,
             alive: true,
             paused_until_ms: 0,
             next_sequence: 1,
-            turns: Loop::default(),
+            event_loop: Loop::default(),
         });
-        let member = self.members.len() - 1;
+        let member = self.instances.len() - 1;
         self.plan(0, Action::Tick { member });
         self.plan(1, Action::Renew { member });
         self.list_workers(member);
-        self.tell(member, Event::Lanes(vec![Lane("a".to_owned()), Lane("b".to_owned())]));
+        self.deliver(member, Event::Lanes(vec![Lane("a".to_owned()), Lane("b".to_owned())]));
     }
 
     fn list_workers(&mut self, member: usize) {
         let now_ms = self.now_ms;
-        let is_listed = |w: &&Worker| w.alive && w.listed || now_ms < w.stale_until_ms;
+        let is_listed = |w: &&Worker| w.alive && w.registered || now_ms < w.stale_until_ms;
         let entries: Vec<Registration> =
             self.workers.iter().filter(is_listed).map(Worker::registration).collect();
         for entry in entries {
-            self.tell(member, Event::WorkerListed(entry));
+            self.deliver(member, Event::WorkerListed(entry));
         }
     }
 
@@ -195,21 +195,21 @@
             return;
         }
         let entry = worker.registration();
-        let member = self.members.len() - 1;
-        self.plan(HEARTBEAT_MS, Action::Tell { member, event: Event::WorkerListed(entry) });
+        let member = self.instances.len() - 1;
+        self.plan(HEARTBEAT_MS, Action::Deliver { member, event: Event::WorkerListed(entry) });
     }
 
     /// The store drops the registration of a worker that it has not heard of.
-    pub fn unlist(&mut self, at: usize) {
-        let member = self.members.len() - 1;
-        self.tell(member, Event::WorkerUnlisted(self.workers[at].name.clone()));
+    pub fn unregister(&mut self, at: usize) {
+        let member = self.instances.len() - 1;
+        self.deliver(member, Event::WorkerUnlisted(self.workers[at].name.clone()));
     }
 
     /// Sets how many instances can call for advice.
     pub fn set_lanes(&mut self, count: usize) {
-        let member = self.members.len() - 1;
+        let member = self.instances.len() - 1;
         let lanes = (0..count).map(|lane| Lane(format!("lane-{lane:02}"))).collect();
-        self.tell(member, Event::Lanes(lanes));
+        self.deliver(member, Event::Lanes(lanes));
     }
 
     /// A new worker comes at the address of one that crashed.
@@ -222,26 +222,26 @@
         let mut new = Worker::new(number, old.capacity);
         new.address = old.address.clone();
         self.workers.push(new);
-        let member = self.members.len() - 1;
+        let member = self.instances.len() - 1;
         self.list_workers(member);
     }
 
     /// Asks the leader, and returns the token of the answer.
-    pub fn ask(&mut self, ask: Ask) -> Token {
+    pub fn request(&mut self, ask: Ask) -> Token {
         let token = Token(self.next_token);
         self.next_token += 1;
-        let member = self.members.len() - 1;
-        self.asked.note(token, &ask);
-        self.tell(member, Event::Asked { token, ask });
+        let member = self.instances.len() - 1;
+        self.requests.record(token, &ask);
+        self.deliver(member, Event::Asked { token, ask });
         token
     }
 
     pub fn submit(&mut self, key: u64, plan: v1::WorkPlan, queue: v1::QueuePolicy) -> Token {
-        self.ask(Ask::Submit { job: JobKey(key), plan, queue })
+        self.request(Ask::Submit { job: JobKey(key), plan, queue })
     }
 
-    pub fn answer(&self, token: Token) -> Option<&Answer> {
-        self.answers.iter().find(|(t, _)| *t == token).map(|(_, answer)| answer)
+    pub fn response(&self, token: Token) -> Option<&Answer> {
+        self.responses.iter().find(|(t, _)| *t == token).map(|(_, answer)| answer)
     }
 
     /// Lets time pass.
@@ -256,7 +256,7 @@
 
     fn advance(&mut self, to_ms: u64) {
         self.now_ms = self.now_ms.max(to_ms);
-        self.note_amiss();
+        self.record_disturbance();
         for worker in &mut self.workers {
             worker.advance(self.now_ms);
         }
@@ -269,31 +269,31 @@
     fn act(&mut self, action: Action) {
         log::trace!("{} {action:?}", self.now_ms);
         match action {
-            Action::Tell { member, event } => self.tell(member, event),
+            Action::Deliver { member, event } => self.deliver(member, event),
             Action::Tick { member } => {
-                if self.members[member].alive {
+                if self.instances[member].alive {
                     if self.costs.is_none() {
                         self.plan(TICK_MS, Action::Tick { member });
                     }
-                    self.tell(member, Event::Tick);
-                    self.tell(member, Event::WorkersRead);
+                    self.deliver(member, Event::Tick);
+                    self.deliver(member, Event::WorkersRead);
                 }
             }
             Action::Renew { member } => {
-                if !self.members[member].alive {
+                if !self.instances[member].alive {
                     return;
                 }
                 self.plan(300, Action::Renew { member });
                 let sent_ms = self.now_ms;
-                let in_force = self.members[member].epoch == self.store.epoch;
+                let in_force = self.instances[member].epoch == self.store.epoch;
                 if in_force && !self.store.down && !self.is_paused(member) {
-                    self.tell(member, Event::Confirmed { sent_ms });
+                    self.deliver(member, Event::Confirmed { sent_ms });
                 }
             }
-            Action::Arrive { member, effect, answered } => self.arrive(member, effect, answered),
-            Action::Round { member } => self.round(member),
-            Action::LookEnds { member, at, effect, sent_ms } => {
-                self.look_ends(member, at, &effect, sent_ms);
+            Action::Arrive { member, effect, answered } => self.carry_out(member, effect, answered),
+            Action::Round { member } => self.run_round(member),
+            Action::PollEnds { member, at, effect, sent_ms } => {
+                self.answer_waiting_poll(member, at, &effect, sent_ms);
             }
             Action::Crash { worker, task } => self.crash_under(&worker, task),
             Action::Return { at } => self.replace_worker(at),
@@ -301,23 +301,23 @@
     }
 
     fn is_paused(&self, member: usize) -> bool {
-        self.members[member].paused_until_ms > self.now_ms
+        self.instances[member].paused_until_ms > self.now_ms
     }
 
-    fn tell(&mut self, member: usize, event: Event) {
-        if !self.members[member].alive {
+    fn deliver(&mut self, member: usize, event: Event) {
+        if !self.instances[member].alive {
             return;
         }
         if self.is_paused(member) {
-            let after_ms = self.members[member].paused_until_ms - self.now_ms;
-            return self.plan(after_ms, Action::Tell { member, event });
+            let after_ms = self.instances[member].paused_until_ms - self.now_ms;
+            return self.plan(after_ms, Action::Deliver { member, event });
         }
         if self.costs.is_some() {
-            self.members[member].turns.inbox.push(event);
+            self.instances[member].event_loop.inbox.push(event);
             return self.wake(member);
         }
         let now = self.now();
-        let leader = &mut self.members[member].leader;
+        let leader = &mut self.instances[member].leader;
         leader.handle(event, now);
         for effect in leader.finish(now) {
             (self.now_ms, member, format!("{effect:?}")).hash(&mut self.effects);
@@ -335,7 +335,7 @@
         let delay_ms = 1 + self.random.below(4) + after_ms;
         let is_order =
             matches!(effect, Effect::Start { .. } | Effect::Stop { .. } | Effect::Look { .. });
-        if is_order && self.random.percent(self.lose_percent) {
+        if is_order && self.random.percent(self.lost_order_percent) {
             // No answer; perhaps carried out, perhaps late.
             self.fail(member, &effect);
             if self.random.percent(70) {
@@ -350,7 +350,7 @@
     fn fail(&mut self, member: usize, effect: &Effect) {
         let error = CallError::Failed(Verdict::MayHaveRun);
         if let Some(event) = self.outcome(effect, Err(error)) {
-            self.plan(CALL_TIMEOUT_MS, Action::Tell { member, event });
+            self.plan(CALL_TIMEOUT_MS, Action::Deliver { member, event });
         }
     }
 
@@ -373,18 +373,18 @@
         })
     }
 
-    fn arrive(&mut self, member: usize, effect: Effect, answered: bool) {
+    fn carry_out(&mut self, member: usize, effect: Effect, answered: bool) {
         match effect {
             Effect::Reply { token, answer } => {
-                if member + 1 == self.members.len() {
-                    self.asked.judge(token, &answer, &self.store);
+                if member + 1 == self.instances.len() {
+                    self.requests.check(token, &answer, &self.store);
                 }
-                self.answered_ms.insert(token.0, self.now_ms);
-                self.answers.push((token, answer));
+                self.responded_ms.insert(token.0, self.now_ms);
+                self.responses.push((token, answer));
             }
             Effect::Append(records) => self.append(member, &records),
             Effect::Advise { lane, step, workers, expected_ms } => {
-                self.calls_for_advice.push((step, workers.len()));
+                self.advice_calls.push((step, workers.len()));
                 let good = workers
                     .iter()
                     .filter(|worker| is_good(worker))
@@ -392,9 +392,9 @@
                     .collect();
                 let advice = Some(Advice { good, valid_ms: 2_500 });
                 let event = Event::Advised { lane, step, asked: workers, advice };
-                self.plan(expected_ms.max(LEAST_ADVICE_MS), Action::Tell { member, event });
+                self.plan(expected_ms.max(LEAST_ADVICE_MS), Action::Deliver { member, event });
             }
-            Effect::Deposed => self.members[member].alive = false,
+            Effect::Deposed => self.instances[member].alive = false,
             order => self.order_arrives(member, &order, answered),
         }
     }
@@ -402,15 +402,15 @@
     fn append(&mut self, member: usize, records: &[Record]) {
         if self.store.down {
             let event = Event::NotAppended;
-            return self.plan(2, Action::Tell { member, event });
+            return self.plan(2, Action::Deliver { member, event });
         }
-        let Member { epoch, next_sequence, .. } = self.members[member];
+        let LeaderInstance { epoch, next_sequence, .. } = self.instances[member];
         if !self.store.append(epoch, records) {
-            self.members[member].alive = false;
+            self.instances[member].alive = false;
             return;
         }
-        self.members[member].next_sequence = next_sequence + 1;
-        self.plan(5, Action::Tell { member, event: Event::Appended });
+        self.instances[member].next_sequence = next_sequence + 1;
+        self.plan(5, Action::Deliver { member, event: Event::Appended });
     }
 
     fn order_arrives(&mut self, member: usize, effect: &Effect, answered: bool) {
@@ -421,7 +421,7 @@
             _ => return,
         };
         let at = self.workers.iter().position(|w| w.alive && w.address == address);
-        let reachable = at.filter(|&at| !self.workers[at].cut);
+        let reachable = at.filter(|&at| !self.workers[at].unreachable);
         let Some(at) = reachable else {
             if answered {
                 self.fail(member, effect);
@@ -438,17 +438,17 @@
                 }),
                 other => self.outcome(other, Err(CallError::OtherLife)),
             };
-            return self.answer_order(member, event, answered);
+            return self.send_order_result(member, event, answered);
         }
-        let epoch = self.members[member].epoch;
+        let epoch = self.instances[member].epoch;
         let now_ms = self.now_ms;
         let event = match effect {
             Effect::Look { worker, lease_until_ms, forget_upto, wait_ms, extra, .. } => {
-                let result = self.workers[at].look(epoch, *lease_until_ms, *forget_upto);
+                let result = self.workers[at].poll(epoch, *lease_until_ms, *forget_upto);
                 if self.costs.is_some() && result.is_ok() {
                     let wait_ms = self.workers[at].next_end_ms(*wait_ms, now_ms);
                     let effect = effect.clone();
-                    let ends = Action::LookEnds { member, at, effect, sent_ms: now_ms };
+                    let ends = Action::PollEnds { member, at, effect, sent_ms: now_ms };
                     return self.plan(wait_ms, ends);
                 }
                 // A waiting look is answered when something ends; here, after part of the wait.
@@ -460,7 +460,7 @@
                     result,
                 };
                 if answered {
-                    self.plan(1 + wait_ms, Action::Tell { member, event });
+                    self.plan(1 + wait_ms, Action::Deliver { member, event });
                 }
                 return;
             }
@@ -474,13 +474,13 @@
             }
             _ => None,
         };
-        self.answer_order(member, event, answered);
+        self.send_order_result(member, event, answered);
     }
 
-    fn answer_order(&mut self, member: usize, event: Option<Event>, answered: bool) {
+    fn send_order_result(&mut self, member: usize, event: Option<Event>, answered: bool) {
         if let Some(event) = event.filter(|_| answered) {
             let delay_ms = 1 + self.random.below(4);
-            self.plan(delay_ms, Action::Tell { member, event });
+            self.plan(delay_ms, Action::Deliver { member, event });
         }
     }
 
@@ -497,20 +497,20 @@
             return Ok(());
         }
         let job = self.store.job(task.step.job).expect("a task of a stored job");
-        self.judge_start(at, task, &job);
-        self.asked.begun.insert(job.key);
+        self.check_start(at, task, &job);
+        self.requests.begun.insert(job.key);
         let plan = job.step_plan(task.step.step);
         let work_ms = u64::from(plan.estimate_ms).max(1);
-        let fails = self.random.percent(3) || self.workers[at].spoils;
+        let fails = self.random.percent(3) || self.workers[at].fails_all_runs;
         let need = lilacpass_lead::place::need(plan);
         let now_ms = self.now_ms;
         self.workers[at].begin(task, run, need, now_ms + work_ms, fails, plan.lasting);
-        self.may_crash(at, task);
+        self.schedule_crash(at, task);
         Ok(())
     }
 
     /// What must hold at each start.
-    fn judge_start(&self, at: usize, task: TaskName, job: &Job) {
+    fn check_start(&self, at: usize, task: TaskName, job: &Job) {
         let plan = job.step_plan(task.step.step);
         for worker in self.workers.iter().filter(|worker| worker.alive) {
             assert!(
@@ -520,7 +520,7 @@
                 worker.name
             );
             assert!(
-                !worker.noted_done.contains(&task),
+                !worker.recorded_done.contains(&task),
                 "{task} starts again after it was done and that was noted"
             );
         }
--- a/lilacpass-lead/tests/world/worker.rs
+++ b/lilacpass-lead/tests/world/worker.rs
@@ -35,15 +35,15 @@
     /// What it says that it has.
     pub capacity: Resources,
     /// What it had before it shrank, which counts until this time.
-    had: Vec<(u64, Resources)>,
+    earlier_capacities: Vec<(u64, Resources)>,
     pub alive: bool,
     /// Nobody reaches it, and it runs on.
-    pub cut: bool,
+    pub unreachable: bool,
     pub draining: bool,
     /// All that starts there fails.
-    pub spoils: bool,
+    pub fails_all_runs: bool,
     /// It is registered.
-    pub listed: bool,
+    pub registered: bool,
     /// Until when it is registered though it has crashed.
     pub stale_until_ms: u64,
     pub data_centre: &'static str,
@@ -53,18 +53,18 @@
     /// Tasks of which a run failed here, once for each.
     pub failed: Vec<TaskName>,
     /// Those of the done whose end was noted.
-    pub noted_done: BTreeSet<TaskName>,
+    pub recorded_done: BTreeSet<TaskName>,
     epoch: u64,
     lease_until_ms: u64,
     ends: Vec<EndRow>,
     next_end: u64,
     /// Ends up to this number were listed before a lease ran out: they may be noted too late, after
     /// the task was started elsewhere.
-    lapsed_upto: u64,
-    over: BTreeMap<TaskName, u32>,
+    last_end_at_expiry: u64,
+    last_ended_run: BTreeMap<TaskName, u32>,
     clock_ms: u64,
     /// Runs whose lease ran out.
-    pub lapsed: u64,
+    pub expired_run_count: u64,
     /// Runs that were told to stop.
     pub stopped: u64,
 }
@@ -76,26 +76,26 @@
             name: WorkerName::from(format!("w-{number}").as_str()),
             address: format!("10.0.0.{number}:80"),
             capacity,
-            had: Vec::new(),
+            earlier_capacities: Vec::new(),
             alive: true,
-            cut: false,
+            unreachable: false,
             draining: false,
-            spoils: false,
-            listed: true,
+            fails_all_runs: false,
+            registered: true,
             stale_until_ms: 0,
             data_centre: "here",
             runs: BTreeMap::new(),
             done: BTreeSet::new(),
             failed: Vec::new(),
-            noted_done: BTreeSet::new(),
+            recorded_done: BTreeSet::new(),
             epoch: 0,
             lease_until_ms: 0,
             ends: Vec::new(),
             next_end: 1,
-            lapsed_upto: 0,
-            over: BTreeMap::new(),
+            last_end_at_expiry: 0,
+            last_ended_run: BTreeMap::new(),
             clock_ms: CLOCK_AHEAD_MS,
-            lapsed: 0,
+            expired_run_count: 0,
             stopped: 0,
         }
     }
@@ -120,13 +120,13 @@
 
     /// Has another room from now on.
     pub fn set_capacity(&mut self, capacity: Resources, now_ms: u64) {
-        self.had.push((now_ms + SHRINKS_AFTER_MS, self.capacity));
+        self.earlier_capacities.push((now_ms + SHRINKS_AFTER_MS, self.capacity));
         self.capacity = capacity;
     }
 
     /// What runs there may take: a room that has shrunk counts after a while.
     pub fn limit(&self, now_ms: u64) -> Resources {
-        let had = self.had.iter().filter(|(until_ms, _)| now_ms < *until_ms);
+        let had = self.earlier_capacities.iter().filter(|(until_ms, _)| now_ms < *until_ms);
         had.fold(self.capacity, |limit, (_, capacity)| limit.max(capacity))
     }
 
@@ -147,9 +147,9 @@
         }
         if now_ms + CLOCK_AHEAD_MS > self.lease_until_ms {
             let lapsed: Vec<TaskName> = self.runs.keys().copied().collect();
-            self.lapsed += lapsed.len() as u64;
+            self.expired_run_count += lapsed.len() as u64;
             lapsed.into_iter().for_each(|task| self.end(task, How::Lapsed));
-            self.lapsed_upto = self.next_end - 1;
+            self.last_end_at_expiry = self.next_end - 1;
         }
         self.now_ms_is(now_ms);
     }
@@ -166,7 +166,7 @@
         if how == How::Failed {
             self.failed.push(task);
         }
-        self.over.insert(task, run.run);
+        self.last_ended_run.insert(task, run.run);
         let end = End { run: run.run, how, checkpoint: String::new() };
         self.ends.push(EndRow { number: self.next_end, task, end });
         self.next_end += 1;
@@ -180,7 +180,7 @@
         Ok(())
     }
 
-    pub fn look(
+    pub fn poll(
         &mut self,
         epoch: u64,
         lease_until_ms: Option<u64>,
@@ -191,8 +191,8 @@
             self.lease_until_ms = self.lease_until_ms.max(until_ms);
         }
         for row in self.ends.iter().filter(|row| row.number <= forget_upto) {
-            if row.end.how == How::Done && row.number > self.lapsed_upto {
-                self.noted_done.insert(row.task);
+            if row.end.how == How::Done && row.number > self.last_end_at_expiry {
+                self.recorded_done.insert(row.task);
             }
         }
         self.ends.retain(|row| row.number > forget_upto);
@@ -229,7 +229,7 @@
         lease_until_ms: u64,
     ) -> Result<(), CallError> {
         self.fence(epoch)?;
-        if self.over.get(&task).is_some_and(|&over| run <= over) {
+        if self.last_ended_run.get(&task).is_some_and(|&over| run <= over) {
             return Err(CallError::Refused(Refusal::Old));
         }
         if lease_until_ms <= self.clock_ms {
@@ -270,7 +270,7 @@
             }
             Some(_) => {}
             None => {
-                let over = self.over.entry(task).or_insert(run);
+                let over = self.last_ended_run.entry(task).or_insert(run);
                 *over = (*over).max(run);
             }
         }
