--- a/lilacpass-lead/src/advice_requests.rs
+++ b/lilacpass-lead/src/advice_requests.rs
@@ -68,14 +68,14 @@
         if !self.lanes.may_call(&entry.job.queue.name, policy.base_ms as u64) {
             return;
         }
-        let waiting = entry.job.task_names(name).filter(|t| entry.wants_run(*t)).count() as u64;
+        let waiting = entry.job.task_names(name).filter(|t| entry.needs_run(*t)).count() as u64;
         if waiting == 0 {
             return;
         }
-        self.work.tries += 1;
+        self.work.steps_examined += 1;
         self.choose_home(name, &plan, now);
         let Some(entry) = self.jobs.get(&name.job) else { return };
-        let share = self.good_shares.get(&entry.job.queue.name).copied();
+        let share = self.allowed_shares.get(&entry.job.queue.name).copied();
         let demand = AdviceDemand {
             waiting_tasks: waiting,
             target_tasks: ((waiting as f64 * TASK_MARGIN) as u64).max(MIN_TARGET_TASKS),
@@ -102,7 +102,7 @@
         let expected_ms = (policy.base_ms + policy.per_worker_ms * workers.len() as f64) as u64;
         let Some(lane) = self.lanes.acquire(&entry.job.queue.name, expected_ms) else { return };
         self.advice.entry(name).or_default().call_pending = true;
-        self.askers.remove(name);
+        self.advice_queue.remove(name);
         log::info!(
             step:% = name, waiting, workers = workers.len(), candidates = candidates.len(),
             expected_ms, lane = lane.0.as_str();
@@ -118,14 +118,14 @@
             Some((entry.job.queue.name.as_str(), policy.base_ms as u64))
         });
         let (Some((queue, base_ms)), Some(rank)) = (policy, self.waiting.rank_of(step)) else {
-            return self.askers.remove(step);
+            return self.advice_queue.remove(step);
         };
         match self.advice.get(&step) {
-            Some(advice) if advice.call_pending => self.askers.remove(step),
+            Some(advice) if advice.call_pending => self.advice_queue.remove(step),
             Some(advice) if now.steady_ms < advice.next_call_ms => {
-                self.askers.delay(step, advice.next_call_ms);
+                self.advice_queue.delay(step, advice.next_call_ms);
             }
-            Some(_) | None => self.askers.enqueue(rank, queue, base_ms),
+            Some(_) | None => self.advice_queue.enqueue(rank, queue, base_ms),
         }
     }
 
@@ -147,16 +147,16 @@
         let advice = self.advice.get(&name);
         let asked: HashSet<&WorkerName> = asked.iter().collect();
         let is_unknown = |worker: &&Worker| {
-            worker.listed
+            worker.registered
                 && !worker.draining
-                && need.fits(&worker.entry.capacity)
+                && need.fits(&worker.registration.capacity)
                 && place::is_eligible(worker, &entry.job.queue.service, plan)
-                && advice.is_none_or(|advice| advice.verdict(&worker.entry.name).is_none())
-                && !asked.contains(&worker.entry.name)
+                && advice.is_none_or(|advice| advice.verdict(&worker.registration.name).is_none())
+                && !asked.contains(&worker.registration.name)
         };
         let max = max.min(MAX_WORKERS_PER_CALL.saturating_sub(asked.len()));
         let unknown = self.workers.values().filter(is_unknown).take(max);
-        unknown.map(|worker| worker.entry.name.clone()).collect()
+        unknown.map(|worker| worker.registration.name.clone()).collect()
     }
 
     /// Handles the response to a call for advice.
@@ -175,7 +175,7 @@
         if let Some(response) = &response {
             let share = response.good.len() as f64 / asked.len().max(1) as f64;
             let learned = self
-                .good_shares
+                .allowed_shares
                 .entry(entry.job.queue.name.clone())
                 .or_insert(INITIAL_ALLOWED_SHARE);
             *learned += (share - *learned) * ALLOWED_SHARE_WEIGHT;
@@ -189,10 +189,10 @@
         }
         if self.reservations.workers_of(step).iter().any(is_bad) {
             for worker in self.reservations.release(step) {
-                self.news.mark_worker_freed(&worker);
+                self.pending_changes.mark_worker_freed(&worker);
             }
         }
-        self.news.mark_step_changed(step);
+        self.pending_changes.mark_step_changed(step);
         self.update_advice_queue(step, now);
     }
 }
--- a/lilacpass-lead/src/candidates.rs
+++ b/lilacpass-lead/src/candidates.rs
@@ -10,7 +10,7 @@
     advice::{Candidate, StepAdvice},
     advice_requests::MAX_WORKERS_PER_CALL,
     event::Now,
-    leader::{Entry, Leader},
+    leader::{JobEntry, Leader},
     place,
     rank::{self, Rank},
     worker::Worker,
@@ -66,7 +66,7 @@
 struct Search<'a> {
     name: StepName,
     plan: &'a v1::WorkStep,
-    entry: &'a Entry,
+    entry: &'a JobEntry,
     advice: Option<&'a StepAdvice>,
     need: Resources,
     rank: Rank,
@@ -110,7 +110,7 @@
     /// Rates the workers with enough free capacity and sorts them, best first.
     fn rate_fitting(&self, search: &Search<'_>, demand: &AdviceDemand, now: Now) -> Vec<Rated<'_>> {
         let service = &search.entry.job.queue.service;
-        let few = self.rooms.fitting(service, &search.need, self.workers.len() / RATE_ALL_DIVISOR);
+        let few = self.capacity_index.fitting(service, &search.need, self.workers.len() / RATE_ALL_DIVISOR);
         if let Some(few) = few {
             let few = few.into_iter().filter_map(|name| self.workers.get(name));
             return best_rated(self.rate_all(search, few, now));
@@ -136,11 +136,11 @@
     ) -> Option<Vec<Rated<'_>>> {
         let allowed = search.advice.into_iter().flat_map(StepAdvice::allowed);
         let mut allowed: Vec<&Worker> = allowed.filter_map(|name| self.workers.get(name)).collect();
-        allowed.sort_unstable_by_key(|worker| &worker.entry.name);
+        allowed.sort_unstable_by_key(|worker| &worker.registration.name);
         let mut rated = best_rated(self.rate_all(search, allowed.into_iter(), now));
-        let home = search.entry.home_of(search.plan);
+        let home = search.entry.home_for(search.plan);
         let need = if search.with_preemption { Resources::ZERO } else { search.need };
-        let names = self.rooms.by_preference(&search.entry.job.queue.service, home, need);
+        let names = self.capacity_index.by_preference(&search.entry.job.queue.service, home, need);
         let mut others = names
             .take(MAX_PREFERRED_TRIES)
             .filter(|name| search.verdict(name).is_none())
@@ -165,14 +165,15 @@
     fn rate<'a>(&self, search: &Search<'_>, worker: &'a Worker, now: Now) -> Option<Rated<'a>> {
         let Search { name, plan, entry, advice, need, rank, waiting, with_preemption } = search;
         // The cheap checks come first, because in a full cell each waiting step goes through many workers.
-        let max_capacity = if *with_preemption { worker.entry.capacity } else { worker.room() };
+        let max_capacity =
+            if *with_preemption { worker.registration.capacity } else { worker.free_capacity() };
         let could_start = need.fits(&max_capacity)
-            && worker.takes_starts(now.steady_ms)
+            && worker.accepts_starts(now.steady_ms)
             && place::is_eligible(worker, &entry.job.queue.service, plan);
         if !could_start {
             return None;
         }
-        let worker_name = &worker.entry.name;
+        let worker_name = &worker.registration.name;
         let verdict = search.verdict(worker_name);
         let holds_ticket = advice.is_some_and(|a| a.ticket(worker_name, now.steady_ms).is_some());
         if verdict == Some(false) || holds_ticket {
@@ -185,7 +186,7 @@
         };
         let max_tasks = (*waiting).min(self.remaining_task_limit(worker, *name, plan));
         let task_capacity = place::count_fitting(&capacity, need, max_tasks);
-        let score = place::Score::new(worker, plan, entry.home_of(plan));
+        let score = place::Score::new(worker, plan, entry.home_for(plan));
         let known_allowed = verdict == Some(true);
         (task_capacity > 0).then_some(Rated {
             known_allowed,
--- a/lilacpass-lead/src/capacity_index.rs
+++ b/lilacpass-lead/src/capacity_index.rs
@@ -60,18 +60,18 @@
     /// A worker that has not yet accepted this leader's epoch cannot get work and is left out. Right after a take-over
     /// this holds for all workers, while hundreds of steps look for capacity.
     pub fn update(&mut self, worker: &Worker) {
-        let name = &worker.entry.name;
-        if !worker.is_open() {
+        let name = &worker.registration.name;
+        if !worker.is_available() {
             return self.remove(name);
         }
-        let free = worker.room();
+        let free = worker.free_capacity();
         let entry = IndexEntry {
-            pool: self.pool_index(&worker.entry.service),
+            pool: self.pool_index(&worker.registration.service),
             free,
-            data_centre: worker.entry.data_centre.clone(),
+            data_centre: worker.registration.data_centre.clone(),
             key: PreferenceKey {
                 used_accelerators: Reverse(worker.used.accelerators.0),
-                free_share: Reverse(place::free_share(&free, &worker.entry.capacity)),
+                free_share: Reverse(place::free_share(&free, &worker.registration.capacity)),
                 worker: name.clone(),
             },
         };
@@ -159,7 +159,7 @@
     /// Returns workers sorted by name, which include all workers of a service on which `need` fits. Others may be
     /// included too.
     pub(crate) fn workers_fitting(&self, service: &str, need: &Resources) -> Vec<&Worker> {
-        match self.rooms.fitting(service, need, self.workers.len() / INDEX_LOOKUP_DIVISOR) {
+        match self.capacity_index.fitting(service, need, self.workers.len() / INDEX_LOOKUP_DIVISOR) {
             Some(few) => few.into_iter().filter_map(|name| self.workers.get(name)).collect(),
             None => self.workers.values().collect(),
         }
--- a/lilacpass-lead/src/event.rs
+++ b/lilacpass-lead/src/event.rs
@@ -1,7 +1,7 @@
 //! Input events and output effects of the leader's state machine.
 
 use lilacpass_core::{Resources, Verdict};
-use lilacpass_jobs::{End, JobKey, StepName, TaskName, WorkerName};
+use lilacpass_jobs::{JobKey, RunEnd, StepName, TaskName, WorkerName};
 use lilacpass_schema::v1;
 
 /// The current time on both clocks that the leader uses.
@@ -153,7 +153,7 @@
     /// Task whose run has ended.
     pub task: TaskName,
     /// How the run ended.
-    pub end: End,
+    pub end: RunEnd,
 }
 
 /// A worker's response to a poll.
--- a/lilacpass-lead/src/place.rs
+++ b/lilacpass-lead/src/place.rs
@@ -14,7 +14,8 @@
 /// Returns whether the registration of a worker allows it to run tasks of this step.
 pub fn is_eligible(worker: &Worker, service: &str, step: &v1::WorkStep) -> bool {
     let label = &step.required_label;
-    worker.entry.service == service && (label.is_empty() || worker.entry.labels.contains(label))
+    worker.registration.service == service
+        && (label.is_empty() || worker.registration.labels.contains(label))
 }
 
 /// Returns how many tasks that need `need` fit into `free`, at most `max`.
@@ -28,7 +29,7 @@
 
 /// Returns whether the data of a step is on the worker's rack.
 pub fn is_near(worker: &Worker, step: &v1::WorkStep) -> bool {
-    !step.affinity_rack.is_empty() && worker.entry.labels.contains(&step.affinity_rack)
+    !step.affinity_rack.is_empty() && worker.registration.labels.contains(&step.affinity_rack)
 }
 
 /// How well a worker suits a task. Workers with a greater score are preferred; the fields are compared in order.
@@ -51,9 +52,9 @@
     pub fn new(worker: &Worker, step: &v1::WorkStep, home: Option<&str>) -> Self {
         Self {
             near: is_near(worker, step),
-            at_home: home == Some(worker.entry.data_centre.as_str()),
+            at_home: home == Some(worker.registration.data_centre.as_str()),
             used_accelerators: worker.used.accelerators.0,
-            free_share: free_share(&worker.room(), &worker.entry.capacity),
+            free_share: free_share(&worker.free_capacity(), &worker.registration.capacity),
         }
     }
 }
@@ -77,8 +78,8 @@
     // There are only few data centres, so searching a list is faster than a map.
     let mut capacities: Vec<(&str, u64)> = Vec::new();
     for worker in workers {
-        let fitting = count_fitting(&worker.room(), &need, max);
-        let data_centre = worker.entry.data_centre.as_str();
+        let fitting = count_fitting(&worker.free_capacity(), &need, max);
+        let data_centre = worker.registration.data_centre.as_str();
         match capacities.iter_mut().find(|(known, _)| *known == data_centre) {
             Some((_, tasks)) => *tasks += fitting,
             None => capacities.push((data_centre, fitting)),
--- a/lilacpass-lead/src/preempt.rs
+++ b/lilacpass-lead/src/preempt.rs
@@ -14,7 +14,7 @@
     place,
     rank::Rank,
     reservations::Share,
-    worker::{Given, Phase, RunKey, Worker},
+    worker::{AssignedRun, Phase, RunKey, Worker},
 };
 
 /// Time in ms for which capacity is reserved for a step after preemption. A stop takes up to 0.9 s, which is the
@@ -37,7 +37,7 @@
     /// Returns whether any open job was less urgent than this step at the last review.
     pub(crate) fn may_preempt_any(&self, name: StepName) -> bool {
         let entry = self.jobs.get(&name.job);
-        entry.is_some_and(|entry| entry.job.queue.priority < self.least_urgent)
+        entry.is_some_and(|entry| entry.job.queue.priority < self.least_urgent_priority)
     }
 
     /// Returns the capacity of a worker that would be free for a step with this rank if all less urgent work that may be
@@ -46,8 +46,8 @@
         let victims = self.victims(worker, rank.priority);
         let freed = victims.iter().fold(Resources::ZERO, |sum, (_, need)| sum.plus(need));
         worker
-            .room_after(&freed)
-            .minus(&self.reservations.reserved_before(rank, &worker.entry.name))
+            .free_capacity_after(&freed)
+            .minus(&self.reservations.reserved_before(rank, &worker.registration.name))
     }
 
     /// Stops work of less urgent queues on workers where the step may start, if that frees capacity for at least one
@@ -85,7 +85,7 @@
         for (worker, key) in stops {
             log::info!(task:% = key.0, run = key.1, worker:% = worker, step:% = name; "run preempted");
             if let Some(entry) = self.jobs.get_mut(&key.0.step.job) {
-                *entry.preempted.entry(key.0).or_default() += 1;
+                *entry.preemptions.entry(key.0).or_default() += 1;
             }
             self.stop_run(&worker, key, now);
         }
@@ -104,13 +104,13 @@
         let need = place::need(plan);
         let offer = |worker: &&Worker| {
             let max_tasks = waiting.min(self.remaining_task_limit(worker, name, plan));
-            let reserved = self.reservations.reserved_before(rank, &worker.entry.name);
+            let reserved = self.reservations.reserved_before(rank, &worker.registration.name);
             let fits = |freed: &Resources| {
-                place::count_fitting(&worker.room_after(freed).minus(&reserved), &need, max_tasks)
+                place::count_fitting(&worker.free_capacity_after(freed).minus(&reserved), &need, max_tasks)
             };
             let victims = self.victims(worker, rank.priority);
             let (tasks, stops) = minimal_victims(max_tasks, victims, fits);
-            (tasks > 0).then(|| Offer { worker: worker.entry.name.clone(), tasks, stops })
+            (tasks > 0).then(|| Offer { worker: worker.registration.name.clone(), tasks, stops })
         };
         self.allowed_workers(name, None, now)
             .into_iter()
@@ -133,10 +133,10 @@
 
     /// Returns whether a run may be stopped for work of this priority. It must be less urgent, able to resume from a
     /// checkpoint, not about to end, and not preempted too often before.
-    fn may_preempt(&self, key: RunKey, given: &Given, priority: u32) -> bool {
+    fn may_preempt(&self, key: RunKey, given: &AssignedRun, priority: u32) -> bool {
         let Some(entry) = self.jobs.get(&key.0.step.job) else { return false };
         let plan = entry.job.step_plan(key.0.step.step);
-        let stops = entry.preempted.get(&key.0).copied().unwrap_or(0);
+        let stops = entry.preemptions.get(&key.0).copied().unwrap_or(0);
         entry.job.queue.priority > priority
             && plan.checkpointing
             && !plan.gang
@@ -149,7 +149,7 @@
 }
 
 /// Returns the time since when a run is known to be running, on the monotonic clock; 0 if it is not running.
-fn since_ms(given: &Given) -> u64 {
+fn since_ms(given: &AssignedRun) -> u64 {
     match given.phase {
         Phase::Running { since_ms } => since_ms,
         Phase::Recording | Phase::Ordered | Phase::Uncertain { .. } | Phase::Stopping { .. } => 0,
--- a/lilacpass-lead/src/requests.rs
+++ b/lilacpass-lead/src/requests.rs
@@ -5,8 +5,8 @@
 
 use crate::{
     event::{Effect, JobState, Now, Request, RequestId, Response},
-    leader::{Entry, Leader},
-    outbox::After,
+    leader::{JobEntry, Leader},
+    outbox::OnStored,
     place,
     worker::Worker,
 };
@@ -47,10 +47,10 @@
             if !is_same {
                 return self.reply(request_id, Response::Conflict);
             }
-            if entry.stored {
+            if entry.is_plan_stored {
                 return self.reply(request_id, Response::Done);
             }
-            return self.outbox.then(After::Accept(request_id, key));
+            return self.outbox.when_stored(OnStored::Accept(request_id, key));
         }
         if let Err(err) = plan::check(&plan) {
             return self.reply(request_id, Response::Invalid(err.to_string()));
@@ -72,16 +72,16 @@
         let record =
             v1::PlanRecord { plan: Some(plan), queue: Some(queue), accepted_ms: now.unix_ms };
         let job = Job::new(key, record);
-        self.jobs.insert(key, Entry::new(job, false));
-        self.outbox.waiting.plans.insert(key);
-        self.outbox.then(After::Accept(request_id, key));
+        self.jobs.insert(key, JobEntry::new(job, false));
+        self.outbox.pending.plans.insert(key);
+        self.outbox.when_stored(OnStored::Accept(request_id, key));
         self.reindex(key, now);
     }
 
     /// Responds to the client of a submitted job, which is now stored.
     pub(crate) fn confirm_submission(&mut self, request_id: RequestId, key: JobKey) {
         if let Some(entry) = self.jobs.get_mut(&key) {
-            entry.stored = true;
+            entry.is_plan_stored = true;
         }
         self.reply(request_id, Response::Done);
     }
@@ -99,10 +99,10 @@
     /// A leader that may have been replaced refuses no job for this reason: its successor may have accepted the job from
     /// an earlier attempt, and a client that is refused concludes that the job will never run.
     fn pressure_retry_ms(&mut self, now: Now) -> Option<u32> {
-        if !self.is_sure(now) {
+        if !self.is_leadership_certain(now) {
             return None;
         }
-        self.pressure.check_refusal(self.news.changed_steps(), now)
+        self.pressure.check_refusal(self.pending_changes.changed_steps(), now)
     }
 
     /// Refuses a job, of which nothing has been done, because the leader is behind.
@@ -115,7 +115,7 @@
     /// Returns whether the store has stored nothing for so long that new jobs are refused.
     fn is_store_stuck(&self, now: Now) -> bool {
         let options = &self.options;
-        let limit_ms = if self.outbox.is_refused() {
+        let limit_ms = if self.outbox.was_refused() {
             options.store_refusal_limit_ms
         } else {
             options.store_unresponsive_limit_ms
@@ -129,7 +129,7 @@
         if !self.is_store_stuck(now) {
             return;
         }
-        for (request_id, key) in self.outbox.take_back_jobs() {
+        for (request_id, key) in self.outbox.withdraw_unstored_jobs() {
             self.withdraw(key, now);
             self.refuse_while_store_stuck(request_id, key, now);
         }
@@ -141,20 +141,20 @@
         entry.job.cancel(now.unix_ms);
         self.stop_job(key, now);
         self.reindex(key, now);
-        self.forget_steps(key);
+        self.release_steps(key);
         self.jobs.remove(&key);
-        self.outbox.waiting.states.remove(&key);
+        self.outbox.pending.states.remove(&key);
     }
 
     /// Returns the reason if no worker of the queue's service is large enough for some step. Returns `None` while no
     /// worker is known. A worker's largest known capacity counts, because a reduced capacity may grow again.
     fn find_impossible_step(&self, plan: &v1::WorkPlan, queue: &v1::QueuePolicy) -> Option<String> {
-        let is_usable = |w: &&Worker| w.listed && w.entry.service == queue.service;
+        let is_usable = |w: &&Worker| w.registered && w.registration.service == queue.service;
         let workers = self.workers.values().filter(is_usable);
         workers.clone().next()?;
         let number = plan.steps.iter().position(|step| {
             let need = place::need(step);
-            !workers.clone().any(|worker| need.fits(&worker.most_capacity))
+            !workers.clone().any(|worker| need.fits(&worker.max_capacity))
         })?;
         Some(format!("step {number}: no worker is large enough for its tasks"))
     }
@@ -164,11 +164,11 @@
         let Some(entry) = self.jobs.get(&key) else {
             return self.respond_unknown_job(request_id, now);
         };
-        let state = match entry.shown {
+        let state = match entry.visible_outcome {
             Outcome::Completed => JobState::Completed,
             Outcome::Failed => JobState::Failed,
             Outcome::Cancelled => JobState::Cancelled,
-            Outcome::Open if entry.job.begun => JobState::Running,
+            Outcome::Open if entry.job.has_started => JobState::Running,
             Outcome::Open => JobState::Queued,
         };
         self.reply(request_id, Response::State(state));
@@ -177,7 +177,7 @@
     /// Responds that a job is unknown, but only if this instance certainly leads. A former leader does not know the jobs
     /// of its successor, and a client that receives this response concludes that the job is lost.
     fn respond_unknown_job(&mut self, request_id: RequestId, now: Now) {
-        if self.is_sure(now) {
+        if self.is_leadership_certain(now) {
             return self.reply(request_id, Response::UnknownJob);
         }
         self.refuse_unconfirmed(request_id, now);
@@ -198,20 +198,20 @@
         let changed = entry.job.cancel(now.unix_ms);
         if changed {
             log::info!(job:% = key; "job cancelled");
-            self.job_ended(key, now);
+            self.on_job_ended(key, now);
         }
-        self.outbox.then(After::Reply(request_id, Response::Done));
+        self.outbox.when_stored(OnStored::Reply(request_id, Response::Done));
     }
 
     /// Responds with the number of jobs of a queue of which no task has started.
     fn respond_with_pending(&mut self, request_id: RequestId, queue: &str, now: Now) {
-        if !self.is_sure(now) {
+        if !self.is_leadership_certain(now) {
             return self.refuse_unconfirmed(request_id, now);
         }
-        let is_pending = |entry: &&Entry| {
+        let is_pending = |entry: &&JobEntry| {
             entry.job.queue.name == queue
-                && entry.stored
-                && !entry.job.begun
+                && entry.is_plan_stored
+                && !entry.job.has_started
                 && entry.job.outcome == Outcome::Open
         };
         let pending = self.jobs.values().filter(is_pending).count() as u64;
--- a/lilacpass-lead/src/schedule.rs
+++ b/lilacpass-lead/src/schedule.rs
@@ -14,7 +14,7 @@
     hosts::{self, Host, HostSelector},
     leader::Leader,
     options::Mechanism,
-    outbox::After,
+    outbox::OnStored,
     pending_changes::RoundScope,
     place,
     rank::Rank,
@@ -29,22 +29,22 @@
     /// Runs one scheduling round: places waiting tasks and requests advice for steps that need it.
     pub(crate) fn schedule(&mut self, now: Now) {
         for worker in self.reservations.expire(now.steady_ms) {
-            self.news.mark_worker_freed(&worker);
+            self.pending_changes.mark_worker_freed(&worker);
         }
-        let mut round = self.news.take(now.steady_ms);
-        self.tries_for_room = 0;
-        for step in self.askers.take_due(now.steady_ms) {
+        let mut round = self.pending_changes.take(now.steady_ms);
+        self.preemption_searches = 0;
+        for step in self.advice_queue.take_due(now.steady_ms) {
             self.update_advice_queue(step, now);
         }
         self.request_advice_for_advance_reservations(now);
-        if self.turn.is_under_way() {
+        if self.scan.is_under_way() {
             return self.schedule_by_scan(round, now);
         }
-        let end = self.work.tries + self.pressure.max_steps_per_round();
+        let end = self.work.steps_examined + self.pressure.max_steps_per_round();
         let mut due = self.due_steps(&round);
         let mut last = None;
         while let Some(rank) = self.next_step(&due, last) {
-            if self.work.tries >= end {
+            if self.work.steps_examined >= end {
                 return self.end_round_early(rank, round, now);
             }
             match due.remove(&rank) {
@@ -59,7 +59,7 @@
             last = Some(rank);
         }
         if round.all {
-            self.turn.reset_duration();
+            self.scan.reset_duration();
             self.make_advance_reservations(now);
         }
     }
@@ -90,7 +90,7 @@
             return first;
         }
         let may_call = |queue: &str, base_ms| self.lanes.may_call(queue, base_ms);
-        let asking = self.askers.next_after(last, may_call);
+        let asking = self.advice_queue.next_after(last, may_call);
         first.into_iter().chain(asking).min()
     }
 
@@ -103,19 +103,19 @@
     ) {
         let Some(entry) = self.jobs.get(&name.job) else { return };
         let mut waiting: Vec<TaskName> =
-            entry.job.task_names(name).filter(|task| entry.wants_run(*task)).collect();
+            entry.job.task_names(name).filter(|task| entry.needs_run(*task)).collect();
         if waiting.is_empty() {
             return;
         }
         let plan = entry.job.step_plan(name.step).clone();
-        self.work.tries += 1;
+        self.work.steps_examined += 1;
         self.choose_home(name, &plan, now);
         let mut hosts = self.available_hosts(name, &plan, subset, now);
         let home_is_unusable =
             subset.is_none() && !hosts.is_empty() && !hosts.iter().any(|host| host.score.at_home);
         if home_is_unusable && let Some(entry) = self.jobs.get_mut(&name.job) {
             // The job's data centre is full or unreachable. The next step of the job chooses another one.
-            entry.home = None;
+            entry.home_data_centre = None;
         }
         if plan.one_rack {
             hosts::retain_one_rack(&mut hosts, &plan, waiting.len());
@@ -131,8 +131,8 @@
         if missing > 0 && subset.is_none() {
             let wanted = if plan.gang { wanted as u64 } else { missing };
             let may_preempt = !plan.lasting && self.options.uses(Mechanism::Preemption);
-            if may_preempt && self.tries_for_room < MAX_PREEMPTION_ATTEMPTS {
-                self.tries_for_room += 1;
+            if may_preempt && self.preemption_searches < MAX_PREEMPTION_ATTEMPTS {
+                self.preemption_searches += 1;
                 self.preempt_for(name, &plan, wanted, now);
             }
         }
@@ -180,17 +180,17 @@
     /// are spread instead, because each of them that is lost counts by itself.
     pub(crate) fn choose_home(&mut self, name: StepName, plan: &v1::WorkStep, now: Now) {
         let Some(entry) = self.jobs.get(&name.job) else { return };
-        if entry.home.is_some() || plan.lasting || !self.options.uses(Mechanism::Home) {
+        if entry.home_data_centre.is_some() || plan.lasting || !self.options.uses(Mechanism::Home) {
             return;
         }
         let service = entry.job.queue.service.as_str();
         let could_run = |worker: &&Worker| {
-            worker.takes_starts(now.steady_ms) && place::is_eligible(worker, service, plan)
+            worker.accepts_starts(now.steady_ms) && place::is_eligible(worker, service, plan)
         };
         let fitting = self.workers_fitting(service, &place::need(plan));
         let home = place::choose_home(fitting.into_iter().filter(could_run), plan);
         if let Some(entry) = self.jobs.get_mut(&name.job) {
-            entry.home = home;
+            entry.home_data_centre = home;
         }
     }
 
@@ -210,7 +210,7 @@
         now: Now,
     ) -> Vec<Host> {
         let Some(entry) = self.jobs.get(&name.job) else { return Vec::new() };
-        let home = entry.home_of(plan);
+        let home = entry.home_for(plan);
         let need = place::need(plan);
         let Some(rank) = self.waiting.rank_of(name) else { return Vec::new() };
         let is_host = |worker: &&Worker| {
@@ -227,13 +227,13 @@
             .into_iter()
             .filter(is_host)
             .map(|worker| Host {
-                name: worker.entry.name.clone(),
+                name: worker.registration.name.clone(),
                 room: self.free_capacity_for(&rank, worker),
                 clean: worker.health.is_clean()
-                    && !entry.failed_on.contains_key(&worker.entry.name),
+                    && !entry.failed_on.contains_key(&worker.registration.name),
                 rack: worker.rack().to_owned(),
                 score: place::Score::new(worker, plan, home),
-                capacity: worker.entry.capacity,
+                capacity: worker.registration.capacity,
                 remaining_task_limit: self.remaining_task_limit(worker, name, plan),
             })
             .collect()
@@ -269,16 +269,18 @@
         now: Now,
     ) -> bool {
         let Some(entry) = self.jobs.get(&name.job) else { return false };
-        worker.takes_starts(now.steady_ms)
+        worker.accepts_starts(now.steady_ms)
             && place::is_eligible(worker, &entry.job.queue.service, plan)
-            && (plan.lasting || !entry.keeps_off(&worker.entry.name, now.steady_ms))
+            && (plan.lasting || !entry.avoids(&worker.registration.name, now.steady_ms))
             && !self.would_interfere(worker, plan)
     }
 
     /// Returns the free capacity of a worker that a step with this rank may use, excluding reservations that rank
     /// before it.
     pub(crate) fn free_capacity_for(&self, rank: &Rank, worker: &Worker) -> Resources {
-        worker.room().minus(&self.reservations.reserved_before(rank, &worker.entry.name))
+        worker
+            .free_capacity()
+            .minus(&self.reservations.reserved_before(rank, &worker.registration.name))
     }
 
     /// Returns whether a task of this step would interfere with those on the worker. A filling task uses CPU that is
@@ -304,13 +306,13 @@
         let service = &entry.job.queue.service;
         let need = place::need(plan);
         let occupied = self.workers.values().find(|worker| {
-            worker.takes_starts(now.steady_ms)
+            worker.accepts_starts(now.steady_ms)
                 && place::is_eligible(worker, service, plan)
-                && need.fits(&worker.room())
+                && need.fits(&worker.free_capacity())
                 && self.would_interfere(worker, plan)
         });
         let Some(worker) = occupied else { return };
-        let host = worker.entry.name.clone();
+        let host = worker.registration.name.clone();
         let fills = |task: TaskName| self.plan_of(task).is_some_and(|plan| plan.fills);
         let stopped: Vec<RunKey> =
             worker.runs.keys().copied().filter(|(task, _)| fills(*task)).collect();
@@ -339,8 +341,8 @@
         let is_on_trial = entry.is_some_and(|entry| self.is_on_trial(entry, task));
         let Some(entry) = self.jobs.get_mut(&task.step.job) else { return };
         let data_centre = data_centre_of(&self.workers, &worker);
-        let Some(run) = entry.job.begin_run(task, worker.clone(), data_centre) else { return };
-        entry.copies.remove(&task);
+        let Some(run) = entry.job.assign_run(task, worker.clone(), data_centre) else { return };
+        entry.wanted_copies.remove(&task);
         self.record_start(task, run, worker.clone(), now);
         if is_on_trial {
             self.begin_trial(&worker, (task, run));
@@ -356,7 +358,7 @@
             .map(|worker| (worker.clone(), data_centre_of(&self.workers, worker)))
             .collect();
         let is_on_trial = entry.job.is_suspected(name.task(0));
-        let Some(run) = entry.job.begin_gang(name, &hosts) else { return };
+        let Some(run) = entry.job.assign_gang(name, &hosts) else { return };
         self.reservations.release(name);
         for (index, worker) in workers.iter().enumerate() {
             let task = name.task(index as u32);
@@ -374,12 +376,12 @@
         self.reservations.consume(task.step, &name, &need);
         self.waiting.record_start(task.step, now.steady_ms);
         if let Some(worker) = self.workers.get_mut(&name) {
-            worker.give((task, run), need, Phase::Recording);
-            self.rooms.update(worker);
+            worker.assign((task, run), need, Phase::Recording);
+            self.capacity_index.update(worker);
         }
         log::info!(task:% = task, run, worker:% = name, need:% = need; "task placed");
-        self.outbox.waiting.states.insert(task.step.job);
-        self.outbox.then(After::Order { worker: name, task, run });
+        self.outbox.pending.states.insert(task.step.job);
+        self.outbox.when_stored(OnStored::SendStart { worker: name, task, run });
     }
 }
 
@@ -394,5 +396,5 @@
 
 /// Returns the data centre of a worker, or an empty string if the worker is unknown.
 fn data_centre_of(workers: &BTreeMap<WorkerName, Worker>, name: &WorkerName) -> Arc<str> {
-    Arc::from(workers.get(name).map_or("", |worker| worker.entry.data_centre.as_str()))
+    Arc::from(workers.get(name).map_or("", |worker| worker.registration.data_centre.as_str()))
 }
--- a/lilacpass-node/src/relay_messages.rs
+++ b/lilacpass-node/src/relay_messages.rs
@@ -1,9 +1,9 @@
 //! Orders and their outcomes as they travel between the leader and an instance that relays them.
 
 use lilacpass_core::Verdict;
-use lilacpass_jobs::{End, JobKey, StepName, TaskName};
+use lilacpass_jobs::{JobKey, RunEnd, StepName, TaskName};
 use lilacpass_lead::event::{CallError, PollResponse, Refusal, ReportedEnd, ReportedRun};
-use lilacpass_platform::workers::{Look, Start};
+use lilacpass_platform::workers::{PollOrder, StartOrder};
 use lilacpass_schema::v1;
 
 /// An order without its number, and what it does where it is a start.
@@ -16,19 +16,19 @@
 }
 
 /// A look at a worker.
-pub fn look(worker: &str, address: &str, look: Look) -> Order {
+pub fn poll(worker: &str, address: &str, look: PollOrder) -> Order {
     let look = v1::RelayedLook {
         lease_until_ms: look.lease_until_ms,
-        forget_upto: look.forget_upto,
+        forget_upto: look.forget_up_to,
         wait_ms: look.wait_ms as u32,
-        answer_ms: look.answer_ms as u32,
+        answer_ms: look.response_timeout_ms as u32,
     };
-    let message = v1::RelayedOrder { look: Some(look), ..to(worker, address) };
+    let message = v1::RelayedOrder { look: Some(look), ..addressed_to(worker, address) };
     Order { message, payload: String::new() }
 }
 
 /// A start.
-pub fn start(worker: &str, address: &str, start: Start<'_>) -> Order {
+pub fn start(worker: &str, address: &str, start: StartOrder<'_>) -> Order {
     let payload = start.payload.to_owned();
     let start = v1::RelayedStart {
         run: Some(write_run(start.task, start.run)),
@@ -37,18 +37,18 @@
         checkpoint: start.checkpoint.to_owned(),
         ticket: start.ticket.map(str::to_owned),
     };
-    let message = v1::RelayedOrder { start: Some(start), ..to(worker, address) };
+    let message = v1::RelayedOrder { start: Some(start), ..addressed_to(worker, address) };
     Order { message, payload }
 }
 
 /// A stop.
 pub fn stop(worker: &str, address: &str, task: TaskName, run: u32) -> Order {
     let stop = v1::RelayedStop { run: Some(write_run(task, run)) };
-    let message = v1::RelayedOrder { stop: Some(stop), ..to(worker, address) };
+    let message = v1::RelayedOrder { stop: Some(stop), ..addressed_to(worker, address) };
     Order { message, payload: String::new() }
 }
 
-fn to(worker: &str, address: &str) -> v1::RelayedOrder {
+fn addressed_to(worker: &str, address: &str) -> v1::RelayedOrder {
     let (worker, address) = (worker.to_owned(), address.to_owned());
     v1::RelayedOrder { worker, address, ..Default::default() }
 }
@@ -66,17 +66,17 @@
 }
 
 /// Reads a look.
-pub fn read_look(look: &v1::RelayedLook) -> Look {
-    Look {
+pub fn read_poll(look: &v1::RelayedLook) -> PollOrder {
+    PollOrder {
         lease_until_ms: look.lease_until_ms,
-        forget_upto: look.forget_upto,
+        forget_up_to: look.forget_upto,
         wait_ms: u64::from(look.wait_ms),
-        answer_ms: u64::from(look.answer_ms),
+        response_timeout_ms: u64::from(look.answer_ms),
     }
 }
 
 /// What came of an order.
-pub fn outcome(number: u64, result: Result<(), CallError>) -> v1::RelayedOutcome {
+pub fn order_outcome(number: u64, result: Result<(), CallError>) -> v1::RelayedOutcome {
     let outcome = match result {
         Ok(()) => v1::OrderOutcome::OrderDone,
         Err(CallError::Failed(Verdict::NotRun)) => v1::OrderOutcome::OrderNotRun,
@@ -100,13 +100,13 @@
 }
 
 /// What came of a look.
-pub fn look_outcome(number: u64, result: Result<PollResponse, CallError>) -> v1::RelayedOutcome {
+pub fn poll_outcome(number: u64, result: Result<PollResponse, CallError>) -> v1::RelayedOutcome {
     match result {
         Ok(answer) => {
             let answer = Some(write_answer(answer));
-            v1::RelayedOutcome { answer, ..outcome(number, Ok(())) }
+            v1::RelayedOutcome { answer, ..order_outcome(number, Ok(())) }
         }
-        Err(err) => outcome(number, Err(err)),
+        Err(err) => order_outcome(number, Err(err)),
     }
 }
 
@@ -145,7 +145,7 @@
     let end = |row: ReportedEnd| v1::RelayedEnd {
         number: row.number,
         run: Some(write_run(row.task, row.end.run)),
-        how: row.end.how.as_str().to_owned(),
+        how: row.end.reason.as_str().to_owned(),
         checkpoint: row.end.checkpoint,
     };
     v1::RelayedAnswer {
@@ -170,7 +170,7 @@
         Some(ReportedEnd {
             number: row.number,
             task,
-            end: End { run, how, checkpoint: row.checkpoint },
+            end: RunEnd { run, reason: how, checkpoint: row.checkpoint },
         })
     };
     Some(PollResponse {
