--- a/lilacpass-lead/src/candidates.rs
+++ b/lilacpass-lead/src/candidates.rs
@@ -110,7 +110,11 @@
     /// Rates the workers with enough free capacity and sorts them, best first.
     fn rate_fitting(&self, search: &Search<'_>, demand: &AdviceDemand, now: Now) -> Vec<Rated<'_>> {
         let service = &search.entry.job.queue.service;
-        let few = self.capacity_index.fitting(service, &search.need, self.workers.len() / RATE_ALL_DIVISOR);
+        let few = self.capacity_index.fitting(
+            service,
+            &search.need,
+            self.workers.len() / RATE_ALL_DIVISOR,
+        );
         if let Some(few) = few {
             let few = few.into_iter().filter_map(|name| self.workers.get(name));
             return best_rated(self.rate_all(search, few, now));
--- a/lilacpass-lead/src/capacity_index.rs
+++ b/lilacpass-lead/src/capacity_index.rs
@@ -159,7 +159,8 @@
     /// Returns workers sorted by name, which include all workers of a service on which `need` fits. Others may be
     /// included too.
     pub(crate) fn workers_fitting(&self, service: &str, need: &Resources) -> Vec<&Worker> {
-        match self.capacity_index.fitting(service, need, self.workers.len() / INDEX_LOOKUP_DIVISOR) {
+        match self.capacity_index.fitting(service, need, self.workers.len() / INDEX_LOOKUP_DIVISOR)
+        {
             Some(few) => few.into_iter().filter_map(|name| self.workers.get(name)).collect(),
             None => self.workers.values().collect(),
         }
--- a/lilacpass-lead/src/preempt.rs
+++ b/lilacpass-lead/src/preempt.rs
@@ -106,7 +106,11 @@
             let max_tasks = waiting.min(self.remaining_task_limit(worker, name, plan));
             let reserved = self.reservations.reserved_before(rank, &worker.registration.name);
             let fits = |freed: &Resources| {
-                place::count_fitting(&worker.free_capacity_after(freed).minus(&reserved), &need, max_tasks)
+                place::count_fitting(
+                    &worker.free_capacity_after(freed).minus(&reserved),
+                    &need,
+                    max_tasks,
+                )
             };
             let victims = self.victims(worker, rank.priority);
             let (tasks, stops) = minimal_victims(max_tasks, victims, fits);
