--- a/lilacpass-lead/tests/capacity_index.rs
+++ b/lilacpass-lead/tests/capacity_index.rs
@@ -1,4 +1,4 @@
-//! The index of workers by room tells the same as going through all of them.
+//! Tests that the capacity index agrees with a scan of all workers.
 
 use std::{cmp::Reverse, collections::BTreeMap};
 
@@ -39,7 +39,8 @@
     Resources::new(500 * (number % 7), 100 * (number % 5), number % 3, 0)
 }
 
-fn with_room(
+/// Returns the available workers of a service on which `need` fits, found by a scan.
+fn workers_fitting(
     workers: &BTreeMap<WorkerName, Worker>,
     service: &str,
     need: Resources,
@@ -52,18 +53,18 @@
     workers.values().filter(fits).cloned().collect()
 }
 
-/// Workers get and lose runs and come and go; a worker that the index forgot, or kept at its old room, would stand
-/// idle or be asked about for nothing.
+/// Workers get and lose runs, and are added and removed. A worker that is missing from the index, or indexed with an
+/// outdated free capacity, would stay idle or be named in calls for nothing.
 #[test]
-fn the_index_tells_what_the_workers_have() {
+fn the_index_agrees_with_a_scan_of_all_workers() {
     let mut workers = BTreeMap::new();
-    let mut rooms = CapacityIndex::default();
+    let mut index = CapacityIndex::default();
     for change in 0..CHANGES {
         let number = change * 7 % WORKERS;
         let name = WorkerName::from(format!("w-{number:02}").as_str());
         if change % 11 == 10 {
             workers.remove(&name);
-            rooms.remove(&name);
+            index.remove(&name);
         } else {
             let changed = workers.entry(name).or_insert_with(|| worker(number));
             changed.draining = change % 13 == 12;
@@ -73,33 +74,34 @@
             } else if let Some(&first) = changed.runs.keys().next() {
                 changed.remove_run(first);
             }
-            rooms.update(changed);
+            index.update(changed);
         }
-        let wanted = need(change / 3);
+        let need = need(change / 3);
         for service in ["service-0", "service-1"] {
-            check(&workers, &rooms, service, wanted);
+            assert_agrees(&workers, &index, service, need);
         }
     }
 }
 
-fn check(
+/// Asserts that the index returns the same workers as a scan, by name and by preference.
+fn assert_agrees(
     workers: &BTreeMap<WorkerName, Worker>,
-    rooms: &CapacityIndex,
+    index: &CapacityIndex,
     service: &str,
-    wanted: Resources,
+    need: Resources,
 ) {
-    let roomy = with_room(workers, service, wanted);
-    let names: Vec<&WorkerName> = roomy.iter().map(|worker| &worker.registration.name).collect();
-    assert_eq!(rooms.fitting(service, &wanted, names.len()), Some(names.clone()));
+    let fitting = workers_fitting(workers, service, need);
+    let names: Vec<&WorkerName> = fitting.iter().map(|worker| &worker.registration.name).collect();
+    assert_eq!(index.fitting(service, &need, names.len()), Some(names.clone()));
     if !names.is_empty() {
-        assert_eq!(rooms.fitting(service, &wanted, names.len() - 1), None, "too many");
+        assert_eq!(index.fitting(service, &need, names.len() - 1), None, "too many");
     }
     for home in [None, Some("south"), Some("nowhere")] {
         let step = Default::default();
-        let mut best: Vec<&Worker> = roomy.iter().collect();
+        let mut best: Vec<&Worker> = fitting.iter().collect();
         best.sort_by_key(|worker| Reverse(place::Score::new(worker, &step, home)));
         let best: Vec<&WorkerName> = best.iter().map(|worker| &worker.registration.name).collect();
-        let preferred: Vec<&WorkerName> = rooms.by_preference(service, home, wanted).collect();
+        let preferred: Vec<&WorkerName> = index.by_preference(service, home, need).collect();
         assert_eq!(preferred, best, "home {home:?}");
     }
 }
--- a/lilacpass-lead/tests/placement.rs
+++ b/lilacpass-lead/tests/placement.rs
@@ -1,4 +1,5 @@
-//! How work gets room when there is too little: loads that were seen, each replayed in the small cell.
+//! Tests how work gets capacity when there is too little. Each test replays a load pattern from a deployment in a small
+//! cell.
 
 mod world;
 
@@ -7,34 +8,35 @@
 use lilacpass_schema::v1;
 use world::{World, plan, queue, step};
 
-/// What a worker with accelerators has.
+/// Resources of a worker with accelerators.
 fn large() -> Resources {
     Resources::new(128_000, 100_000, 8, 0)
 }
 
-/// A queue whose steps need tickets, with the time of a call as seen for its kind of work.
+/// Creates a queue whose steps need tickets, with the given duration of a call for advice.
 fn advised(name: &str, priority: u32, base_ms: f64, per_worker_ms: f64) -> v1::QueuePolicy {
     let advice = v1::AdvicePolicy { base_ms, per_worker_ms, valid_ms: 2_000 };
     v1::QueuePolicy { advice: Some(advice), ..queue(name, priority) }
 }
 
-/// A step of tasks that take accelerators and save their progress.
+/// Creates a step of tasks that need accelerators and save checkpoints.
 fn accelerated(count: u32, accelerators: u32, estimate_ms: u32) -> v1::WorkStep {
     v1::WorkStep { accelerators, checkpointing: true, ..step(count, 11_000, estimate_ms) }
 }
 
-/// How many tasks of a job run now.
+/// Returns the number of running tasks of a job.
 fn running(world: &World, key: u64) -> usize {
     let tasks = world.workers.iter().flat_map(|worker| worker.runs.keys());
     tasks.filter(|task| task.step.job == JobKey(key)).count()
 }
 
-/// Runs until a task of a job runs; none if that takes longer than `most_ms`.
-fn time_to_start_ms(world: &mut World, key: u64, most_ms: u64) -> Option<u64> {
-    const LOOK_MS: u64 = 10;
+/// Runs the cell until a task of a job runs, and returns the time in ms. Returns `None` if that takes longer than
+/// `max_ms`.
+fn time_to_start_ms(world: &mut World, key: u64, max_ms: u64) -> Option<u64> {
+    const INTERVAL_MS: u64 = 10;
     let begin_ms = world.now_ms;
-    while world.now_ms < begin_ms + most_ms {
-        world.run(LOOK_MS);
+    while world.now_ms < begin_ms + max_ms {
+        world.run(INTERVAL_MS);
         if running(world, key) > 0 {
             return Some(world.now_ms - begin_ms);
         }
@@ -42,11 +44,11 @@
     None
 }
 
-/// Permits are not handed out for half a minute though most workers have room. Gangs that need two whole
-/// workers wait for the second one; each asks again for tickets as soon as its old ones have lapsed, and
-/// these calls, half a second each, hold all lanes.
+/// Failure: a job did not start for half a minute although most workers had free capacity. Gangs that need two whole
+/// workers waited for the second one. Each requested new tickets as soon as its old ones had expired, and these calls,
+/// half a second each, held all lanes.
 #[test]
-fn gangs_that_can_not_start_leave_the_lanes_to_others() {
+fn gangs_that_cannot_start_leave_lanes_for_other_steps() {
     let mut world = World::new(3, 4, large());
     world.submit(1, plan(&[accelerated(3, 5, 60_000)]), queue("scan", 0));
     world.run(500);
@@ -60,11 +62,11 @@
     assert!(waited_ms.is_some_and(|ms| ms < 1_000), "started after {waited_ms:?} ms");
 }
 
-/// A permit waits for a minute. Each time its turn comes it has no ticket; while it asks for one, which takes
-/// half a second, a later job takes the room, and the ticket has lapsed before there is room again. Once it
-/// has waited for four seconds the next room is kept for it.
+/// Failure: a job waited for a minute. Whenever capacity was free it had no ticket. While it requested one, which takes
+/// half a second, a later job took the capacity, and the ticket had expired before capacity was free again. After four
+/// seconds of waiting, the next free capacity should be reserved for it.
 #[test]
-fn a_step_that_loses_each_race_for_room_gets_its_turn() {
+fn a_step_that_loses_each_race_for_capacity_starts_eventually() {
     let mut world = World::new(3, 1, Resources::new(8_000, 1_000, 0, 0));
     world.submit(1, plan(&[step(2, 4_000, 1_000)]), queue("before", 0));
     world.run(100);
@@ -78,11 +80,12 @@
     assert!(waited_ms.is_some_and(|ms| ms < 6_000), "started after {waited_ms:?} ms");
 }
 
-/// A permit was accepted and stood still for half a minute beside workers with room: more urgent checks asked for advice
-/// all the time, so that no lane was ever left for it. Room was kept for it again and again, but it had no ticket.
+/// Failure: an accepted job did not start for half a minute although workers had free capacity. More urgent steps
+/// requested advice all the time, so no lane was ever left for it. Capacity was reserved for it again and again, but it
+/// had no ticket.
 #[test]
-fn a_step_that_others_always_ask_before_gets_its_turn() {
-    const MOST_MS: u64 = 8_000;
+fn a_step_whose_advice_requests_always_come_last_starts_eventually() {
+    const MAX_WAIT_MS: u64 = 8_000;
     let mut world = World::new(3, 20, Resources::new(64_000, 100_000, 0, 0));
     for key in 10..60 {
         world.submit(key, plan(&[step(1, 100, 20)]), advised("check", 0, 40.0, 1.0));
@@ -90,18 +93,18 @@
     let permit = advised("permit", 2, 100.0, 1.0);
     world.submit(1, plan(&[step(2, 4_000, 60_000)]), permit);
     let mut waited_ms = 0;
-    while running(&world, 1) == 0 && waited_ms < MOST_MS {
+    while running(&world, 1) == 0 && waited_ms < MAX_WAIT_MS {
         world.submit(100 + waited_ms, plan(&[step(1, 100, 20)]), advised("check", 0, 40.0, 1.0));
         world.run(10);
         waited_ms += 10;
     }
-    assert!(waited_ms < MOST_MS, "not started after {waited_ms} ms");
+    assert!(waited_ms < MAX_WAIT_MS, "not started after {waited_ms} ms");
 }
 
-/// A face match that needs all accelerators of a worker waits for as long as vehicle scans come in: each scan
-/// takes one accelerator, and they were spread over all workers, the emptiest first.
+/// Failure: a task that needs all accelerators of a worker waited for as long as tasks with one accelerator were
+/// submitted, because those were spread over all workers, least loaded first.
 #[test]
-fn small_tasks_leave_whole_workers_to_large_ones() {
+fn small_tasks_leave_unused_workers_for_large_ones() {
     let mut world = World::new(3, 4, large());
     for key in 1..=4 {
         world.submit(key, plan(&[accelerated(2, 1, 20_000)]), queue("scan", 2));
@@ -111,10 +114,10 @@
     assert_eq!(whole, 3, "eight tasks with one accelerator each share a worker");
 }
 
-/// A face match, which a person waits for, is late because scans that could wait a minute fill every worker.
-/// They save their progress, so the fewest that are in the way stop and go on later.
+/// Failure: an interactive job was late because tasks that could wait for a minute filled every worker. They save
+/// checkpoints, so as few of them as needed should be stopped and resumed later.
 #[test]
-fn urgent_work_stops_the_least_work_that_can_wait() {
+fn urgent_work_preempts_as_few_runs_as_needed() {
     let mut world = World::new(3, 2, large());
     world.submit(1, plan(&[accelerated(16, 1, 30_000)]), queue("scan", 2));
     world.run(3_000);
@@ -122,12 +125,12 @@
     world.submit(2, plan(&[accelerated(1, 4, 2_000)]), queue("match", 1));
     let waited_ms = time_to_start_ms(&mut world, 2, 5_000);
     assert!(waited_ms.is_some_and(|ms| ms < 1_000), "started after {waited_ms:?} ms");
-    assert_eq!(running(&world, 1), 12, "four of the sixteen made way");
+    assert_eq!(running(&world, 1), 12, "four of the sixteen were preempted");
     world.run(6_000);
-    assert_eq!(running(&world, 1), 16, "and started again");
+    assert_eq!(running(&world, 1), 16, "the preempted tasks run again");
 }
 
-/// Work that saves nothing, that is as urgent, or that lasts is not stopped for others.
+/// Work that saves no checkpoints, that is as urgent, or that is long-running is not preempted.
 #[test]
 fn work_that_would_be_lost_is_not_preempted() {
     let lost = v1::WorkStep { checkpointing: false, ..accelerated(8, 1, 20_000) };
@@ -142,10 +145,10 @@
     }
 }
 
-/// A face match that may run on half of the workers asked about those with room alone, one after the other
-/// as they had some, for half a second each. What it learns never changes, so one call names them all.
+/// Failure: a step that may run on half of the workers requested advice only about workers with free capacity, one after
+/// the other, for half a second each. Which workers it may use never changes, so one call should name them all.
 #[test]
-fn a_step_learns_of_all_workers_in_one_call() {
+fn a_step_learns_about_all_workers_in_one_call() {
     let mut world = World::new(3, 9, large());
     world.submit(1, plan(&[accelerated(64, 1, 8_000)]), queue("scan", 0));
     world.run(1_000);
@@ -161,10 +164,10 @@
     assert!(calls.len() <= 2, "{calls:?}");
 }
 
-/// An audit that needs a whole worker never starts: small tasks of the same priority fill each gap that opens
-/// on any worker, again and again, before all of one is free.
+/// Failure: a task that needs a whole worker never started. Small tasks of the same priority filled each gap on any
+/// worker before a whole worker was free.
 #[test]
-fn a_large_task_gets_its_turn_among_small_ones() {
+fn a_large_task_starts_eventually_among_small_ones() {
     let mut world = World::new(3, 2, Resources::new(8_000, 1_000, 0, 0));
     let mut key = 100;
     for first in 10..26 {
@@ -185,10 +188,10 @@
     assert!(started_ms.is_some_and(|ms| ms < 9_000), "started after {started_ms:?} ms");
 }
 
-/// A report of low urgency waits for as long as a burst lasts, and longer: checks of the same priority that are
-/// late sooner come in all the time, and are always ahead of it.
+/// Failure: a job with a late deadline waited for as long as a burst lasted, and longer. Jobs of the same priority that
+/// become late sooner arrived all the time and always ranked before it.
 #[test]
-fn a_step_that_others_are_always_ahead_of_gets_its_turn() {
+fn a_step_that_always_ranks_last_starts_eventually() {
     let mut world = World::new(3, 1, Resources::new(8_000, 1_000, 0, 0));
     let patient = v1::QueuePolicy { objective_ms: 600_000, ..advised("report", 2, 170.0, 1.0) };
     world.submit(1, plan(&[step(4, 2_000, 1_000)]), queue("check", 2));
--- a/lilacpass-lead/tests/pressure.rs
+++ b/lilacpass-lead/tests/pressure.rs
@@ -1,4 +1,4 @@
-//! When a leader counts as behind, whose turn it is then, and when it refuses new jobs.
+//! Tests when a leader counts as behind, how it scans the waiting steps then, and when it refuses new jobs.
 
 use lilacpass_jobs::{JobKey, StepName};
 use lilacpass_lead::{
@@ -11,10 +11,10 @@
 };
 use lilacpass_schema::v1;
 
-/// Time between two ticks.
+/// Interval between two ticks in ms.
 const TICK_MS: u64 = 50;
-/// More hand-ins in one batch than a round may look at, several times over.
-const RUSH: u64 = 3_000;
+/// Number of submissions in one batch, several times as many as a round may examine.
+const SUBMISSIONS: u64 = 3_000;
 
 fn at(steady_ms: u64) -> Now {
     Now { steady_ms, unix_ms: 1_800_000_000_000 + steady_ms }
@@ -42,20 +42,23 @@
 }
 
 #[test]
-fn new_jobs_are_refused_from_a_long_delay_on_until_it_has_been_short_for_a_while() {
+fn new_jobs_are_refused_from_a_long_delay_until_it_is_short_again() {
     let mut pressure = Pressure::new(at(0));
     let (now_ms, level) = tick(&mut pressure, 0, 200, 4);
     assert_eq!(level, Some(Level::Behind));
-    assert_eq!(pressure.check_refusal(0, at(now_ms)), None, "it is a little behind");
+    assert_eq!(pressure.check_refusal(0, at(now_ms)), None, "the leader is only slightly behind");
     let (now_ms, level) = tick(&mut pressure, now_ms, 2_000, 4);
     assert_eq!(level, Some(Level::Refuses));
     assert_eq!(
         pressure.check_refusal(0, at(now_ms)),
         Some(2_000),
-        "by then it should have caught up"
+        "the leader should have caught up by then"
     );
     let (now_ms, _) = tick(&mut pressure, now_ms, 500, 4);
-    assert!(pressure.check_refusal(0, at(now_ms)).is_some(), "it goes on refusing on the way down");
+    assert!(
+        pressure.check_refusal(0, at(now_ms)).is_some(),
+        "the leader keeps refusing until the delay is below the lower limit"
+    );
     let (now_ms, _) = tick(&mut pressure, now_ms, 0, 1);
     assert_eq!(pressure.check_refusal(0, at(now_ms)), None);
     let (_, level) = tick(&mut pressure, now_ms, 0, 30);
@@ -63,19 +66,19 @@
 }
 
 #[test]
-fn a_round_looks_at_less_the_longer_ticks_are_late_and_at_more_where_it_could() {
+fn a_round_examines_fewer_steps_while_ticks_are_late_and_more_when_cut_short() {
     let mut pressure = Pressure::new(at(0));
-    let at_first = pressure.max_steps_per_round();
+    let initial = pressure.max_steps_per_round();
     let (now_ms, _) = tick(&mut pressure, 0, 300, 20);
     let fewest = pressure.max_steps_per_round();
-    assert!(fewest > 0 && fewest < at_first / 8, "{fewest} of {at_first}");
+    assert!(fewest > 0 && fewest < initial / 8, "{fewest} of {initial}");
     let (mut now_ms, _) = tick(&mut pressure, now_ms, 0, 5);
-    assert_eq!(pressure.max_steps_per_round(), fewest, "rounds have looked at all they had to");
+    assert_eq!(pressure.max_steps_per_round(), fewest, "rounds have examined all due steps");
     for _ in 0..20 {
         pressure.record_cut_round();
         (now_ms, _) = tick(&mut pressure, now_ms, 0, 1);
     }
-    assert!(pressure.max_steps_per_round() > at_first);
+    assert!(pressure.max_steps_per_round() > initial);
 }
 
 fn rank(number: u64) -> Rank {
@@ -83,24 +86,24 @@
     Rank { priority: 1, late_from_ms: 1_000 + number, step }
 }
 
-/// A permit waits for ever: more urgent steps come in all the time, and a round looks at a few.
+/// Failure: a step waited forever because more urgent steps arrived all the time and a round examines only a few.
 #[test]
-fn each_waiting_step_gets_its_turn_though_others_come_in_before_it() {
+fn a_scan_reaches_each_waiting_step_although_others_arrive_before_it() {
     let mut waiting = WaitingSteps::default();
     for number in 1_000..1_100 {
         waiting.add(rank(number).step, StepKind::Plain, 0, || rank(number));
     }
-    let mut turn = Scan::default();
-    turn.start(None, at(0));
+    let mut scan = Scan::default();
+    scan.start(None, at(0));
     let mut seen = Vec::new();
     for number in 0..30 {
         waiting.add(rank(number).step, StepKind::Plain, 0, || rank(number));
-        seen.extend(turn.next(&waiting, 8, at(number)));
-        if !turn.is_active() {
+        seen.extend(scan.next(&waiting, 8, at(number)));
+        if !scan.is_active() {
             break;
         }
     }
-    assert!(!turn.is_active(), "the turn ends");
+    assert!(!scan.is_active(), "the scan ends");
     for number in 1_000..1_100 {
         assert!(seen.contains(&rank(number).step), "step {number}");
     }
@@ -117,9 +120,9 @@
     }
 }
 
-/// Hands in a rush of jobs in one batch, and returns how many were refused.
-fn refused_in_a_rush(leader: &mut Leader, now: Now) -> Vec<u64> {
-    for key in 0..RUSH {
+/// Submits a batch of jobs and returns the requests that were refused.
+fn submit_batch(leader: &mut Leader, now: Now) -> Vec<u64> {
+    for key in 0..SUBMISSIONS {
         leader.handle(submit(key), now);
     }
     let refused = leader.finish(now).into_iter().filter_map(|effect| match effect {
@@ -130,26 +133,26 @@
 }
 
 #[test]
-fn hand_ins_beyond_what_can_be_looked_at_soon_are_refused_at_once() {
+fn submissions_beyond_what_can_be_examined_soon_are_refused_at_once() {
     let mut leader = Leader::new(Options::default(), Vec::new(), at(0));
-    let refused = refused_in_a_rush(&mut leader, at(10));
-    assert!(refused.len() > 1_000 && refused.len() < RUSH as usize, "{}", refused.len());
+    let refused = submit_batch(&mut leader, at(10));
+    assert!(refused.len() > 1_000 && refused.len() < SUBMISSIONS as usize, "{}", refused.len());
     leader.handle(submit(0), at(20));
-    let answers = leader.finish(at(20));
+    let effects = leader.finish(at(20));
     let is_refused = |effect: &Effect| {
         matches!(effect, Effect::Reply { response: Response::Refused { .. }, .. })
     };
     assert!(
-        !answers.iter().any(is_refused),
-        "a job that was taken is not refused when it comes again"
+        !effects.iter().any(is_refused),
+        "an accepted job is not refused when it is submitted again"
     );
 }
 
-/// A caller is told that its job never runs, and it runs: the leader had been replaced without knowing it, and its
-/// successor had taken the job.
+/// Failure: a client's job was refused, so that it should never run, but it ran. The leader had been replaced without
+/// knowing it, and its successor had accepted the job.
 #[test]
-fn a_leader_that_may_have_been_replaced_refuses_nothing_for_want_of_time() {
+fn a_leader_that_may_have_been_replaced_refuses_no_job_for_overload() {
     let mut leader = Leader::new(Options::default(), Vec::new(), at(0));
-    let refused = refused_in_a_rush(&mut leader, at(2_000));
+    let refused = submit_batch(&mut leader, at(2_000));
     assert_eq!(refused, [0; 0]);
 }
--- a/lilacpass-lead/tests/waiting_jobs.rs
+++ b/lilacpass-lead/tests/waiting_jobs.rs
@@ -1,4 +1,5 @@
-//! Which jobs are said to wait and which to run: what workers have begun decides, not what was ordered.
+//! Tests which jobs are shown as queued and which as running. A job is running once a worker has confirmed the start of a
+//! task, not when the start was ordered.
 
 mod world;
 
@@ -9,6 +10,7 @@
 
 const QUEUE: &str = "checks";
 
+/// Creates a cell with four workers.
 fn four_workers() -> World {
     World::new(3, 4, Resources::new(8_000, 1_000, 0, 0))
 }
@@ -17,32 +19,32 @@
     world.submit(key, plan(&[step(2, 1_000, 60_000)]), queue(QUEUE, 0));
 }
 
-fn ask(world: &mut World, request: Request) -> Response {
+fn request(world: &mut World, request: Request) -> Response {
     let request_id = world.request(request);
     world.run(20);
     world.response(request_id).cloned().expect("an answer within 20 ms")
 }
 
-fn count(world: &mut World) -> Response {
-    ask(world, Request::Pending { queue: QUEUE.to_owned() })
+fn pending(world: &mut World) -> Response {
+    request(world, Request::Pending { queue: QUEUE.to_owned() })
 }
 
 fn state(world: &mut World, key: u64) -> Response {
-    ask(world, Request::State(JobKey(key)))
+    request(world, Request::State(JobKey(key)))
 }
 
-fn set_cut(world: &mut World, cut: bool) {
-    world.workers.iter_mut().for_each(|worker| worker.unreachable = cut);
+fn set_unreachable(world: &mut World, unreachable: bool) {
+    world.workers.iter_mut().for_each(|worker| worker.unreachable = unreachable);
 }
 
-/// Four checks have waited for five seconds, and the count of waiting checks says 0. Their leader recorded
-/// the starts and was cut off before an order arrived; its successor read the starts, could not reach the
-/// workers yet, and took each job for one that runs.
+/// Failure: four jobs had waited for five seconds, but the number of pending jobs was 0. Their leader stored the starts
+/// and was cut off before any order arrived. Its successor read the starts, could not reach the workers yet, and treated
+/// each job as running.
 #[test]
-fn a_job_whose_orders_never_arrived_waits_for_a_successor_too() {
+fn a_job_whose_orders_never_arrived_is_queued_for_a_successor_too() {
     let mut world = four_workers();
     world.run(500);
-    set_cut(&mut world, true);
+    set_unreachable(&mut world, true);
     (1..=4).for_each(|key| submit(&mut world, key));
     world.run(300);
     world.current_instance().alive = false;
@@ -50,28 +52,28 @@
     world.take_over();
     world.run(3_000);
     assert!(world.workers.iter().all(|worker| worker.runs.is_empty()), "nothing ever ran");
-    assert_eq!(count(&mut world), Response::Pending(4));
+    assert_eq!(pending(&mut world), Response::Pending(4));
     assert_eq!(state(&mut world, 1), Response::State(JobState::Queued));
 }
 
-/// The same without a change of leader: the orders get no answer, and once the runs are given up there is
-/// nowhere to start them again. The job was shown as one that runs for as long as that lasted.
+/// The same without a take-over: the orders get no response, and once the runs are given up there is no worker to start
+/// them on again. The job was shown as running all that time.
 #[test]
-fn a_job_whose_orders_got_no_answer_waits() {
+fn a_job_whose_orders_got_no_response_is_queued() {
     let mut world = four_workers();
     world.run(500);
-    set_cut(&mut world, true);
+    set_unreachable(&mut world, true);
     submit(&mut world, 1);
     for _ in 0..6 {
         world.run(2_000);
-        assert_eq!(count(&mut world), Response::Pending(1));
+        assert_eq!(pending(&mut world), Response::Pending(1));
         assert_eq!(state(&mut world, 1), Response::State(JobState::Queued));
     }
 }
 
-/// A check is shown as one that runs while its start is still on the way into a store that takes nothing.
+/// Failure: a job was shown as running while its start had not been stored because the store was down.
 #[test]
-fn a_job_whose_start_is_not_stored_yet_waits() {
+fn a_job_whose_start_is_not_stored_yet_is_queued() {
     let mut world = four_workers();
     world.run(500);
     world.workers.iter_mut().for_each(|worker| worker.draining = true);
@@ -79,22 +81,22 @@
     world.run(500);
     submit(&mut world, 1);
     world.run(300);
-    assert_eq!(count(&mut world), Response::Pending(1), "no worker takes starts");
+    assert_eq!(pending(&mut world), Response::Pending(1), "no worker accepts starts");
     world.store.down = true;
     let number = world.workers.len() - 1;
     world.replace_worker(number);
     world.run(600);
-    assert_eq!(count(&mut world), Response::Pending(1));
+    assert_eq!(pending(&mut world), Response::Pending(1));
     assert_eq!(state(&mut world, 1), Response::State(JobState::Queued));
     world.store.down = false;
     world.run(500);
-    assert_eq!(count(&mut world), Response::Pending(0));
+    assert_eq!(pending(&mut world), Response::Pending(0));
 }
 
-/// A job that has run for most of a second is said to wait: the answer to its start was passed over, and the look
-/// that lists it waits for an end.
+/// Failure: a job that had been running for most of a second was shown as queued. The response to its start was ignored,
+/// and the poll that would list it was waiting for an end.
 #[test]
-fn a_job_runs_once_its_worker_has_confirmed_the_start() {
+fn a_job_is_running_once_its_worker_has_confirmed_the_start() {
     let mut world = four_workers();
     world.run(500);
     submit(&mut world, 1);
@@ -105,26 +107,26 @@
     assert_eq!(state(&mut world, 1), Response::State(JobState::Running));
 }
 
-/// What runs must not be shown as waiting again: a worker began it, and the successor of the leader that
-/// heard of that can't reach the worker for seconds.
+/// A job that was shown as running must not be shown as queued again, even if the leader that saw its start is replaced
+/// and the successor cannot reach the worker for seconds.
 #[test]
-fn a_job_that_a_worker_has_begun_is_not_said_to_wait_again() {
+fn a_job_that_a_worker_has_started_is_never_queued_again() {
     let mut world = four_workers();
     submit(&mut world, 1);
     world.run(300);
     assert_eq!(state(&mut world, 1), Response::State(JobState::Running));
     submit(&mut world, 2);
     world.run(300);
-    set_cut(&mut world, true);
+    set_unreachable(&mut world, true);
     world.current_instance().alive = false;
     world.take_over();
     world.run(1_000);
     assert_eq!(state(&mut world, 1), Response::State(JobState::Running));
 }
 
-/// The same where nothing was stored after the worker had begun: a look at the worker tells.
+/// If nothing was stored after the worker started the job, the successor learns of it from a poll of the worker.
 #[test]
-fn a_successor_hears_of_runs_from_their_workers() {
+fn a_successor_learns_of_runs_from_their_workers() {
     let mut world = four_workers();
     submit(&mut world, 1);
     world.run(300);
@@ -132,12 +134,12 @@
     world.take_over();
     world.run(300);
     assert_eq!(state(&mut world, 1), Response::State(JobState::Running));
-    assert_eq!(count(&mut world), Response::Pending(0));
+    assert_eq!(pending(&mut world), Response::Pending(0));
 }
 
-/// And where the run ended before the successor looked: the end that the worker lists tells.
+/// If the run ended before the successor polled the worker, the successor learns of it from the reported end.
 #[test]
-fn a_successor_hears_of_ended_runs_from_their_workers() {
+fn a_successor_learns_of_ended_runs_from_their_workers() {
     let mut world = four_workers();
     let short = step(1, 1_000, 200);
     let long = step(1, 1_000, 60_000);
@@ -153,10 +155,10 @@
     assert_eq!(state(&mut world, 1), Response::State(JobState::Running));
 }
 
-/// Calls of the store are priced and bounded: what workers have begun is stored with the next change, and costs
-/// no append of its own.
+/// Calls to the store are costly and limited, so a confirmed start is stored with the next change and needs no append of
+/// its own.
 #[test]
-fn hearing_of_a_begun_run_costs_no_append() {
+fn learning_of_a_started_run_costs_no_append() {
     let mut world = four_workers();
     world.run(500);
     submit(&mut world, 1);
@@ -173,14 +175,14 @@
     assert!(job.has_started, "stored beside the next job");
 }
 
-/// Operators looked for jobs that stand still and saw open ones only: those of which nothing ran were among them,
-/// with runs on workers that had never heard of them.
+/// Failure: operators who looked for stuck jobs could not tell which open jobs had not started, because those were listed
+/// with runs on workers that had never received them.
 #[test]
-fn operators_see_which_jobs_no_worker_has_begun() {
+fn operators_see_which_jobs_no_worker_has_started() {
     let mut world = four_workers();
     submit(&mut world, 1);
     world.run(500);
-    set_cut(&mut world, true);
+    set_unreachable(&mut world, true);
     submit(&mut world, 2);
     world.run(300);
     let now = world.now();
