--- a/lilacpass-lead/benches/cell/mod.rs
+++ b/lilacpass-lead/benches/cell/mod.rs
@@ -1,5 +1,5 @@
-//! A full cell for benchmarks: workers without room for the steps that wait, and the answers that its leader
-//! needs to go on. All of it is brought about by public events.
+//! A simulated full cell for benchmarks: its workers have no capacity for the waiting steps, and it sends the responses
+//! that the leader needs to continue. It only uses public events.
 
 use std::time::{Duration, Instant};
 
@@ -14,94 +14,96 @@
 };
 use lilacpass_schema::v1;
 
-/// Pools, each with its own workers and queues.
+/// Number of services, each with its own workers and queues.
 const SERVICES: usize = 3;
-/// Data centres over which the workers are spread.
+/// Number of data centres that the workers are spread over.
 const DATA_CENTRES: usize = 4;
-/// Instances that call for advice.
+/// Number of instances that call the advice service.
 const LANES: usize = 6;
-/// Tasks that a worker holds; some room that is too small for another is left beside them.
-const TASKS_A_WORKER: usize = 2;
-/// Tasks of a step that waits.
-const WIDTH: u32 = 13;
-/// Sorts of queues: without advice, with quick advice, with slow advice.
-const SORTS: usize = 3;
-/// Processors of a worker and of a task, in thousandths.
+/// Number of tasks that fit on a worker. The capacity left beside them is too small for another one.
+const TASKS_PER_WORKER: usize = 2;
+/// Number of tasks of a waiting step.
+const TASKS_PER_STEP: u32 = 13;
+/// Number of kinds of queues: without advice, with quick advice, with slow advice.
+const QUEUE_KINDS: usize = 3;
+/// CPU of a worker and of a task in thousandths of a core.
 const WORKER_CPU_MILLI: u64 = 10_000;
 const TASK_CPU_MILLI: u32 = 4_000;
-/// Estimated time of a task, in ms.
+/// Estimated run time of a task in ms.
 const ESTIMATE_MS: u32 = 60_000;
-/// How long a ticket is valid, in ms.
+/// Validity of a ticket in ms.
 const TICKET_MS: u64 = 2_500;
-/// Made-up time between two measured events, in ms.
-const PAUSE_MS: u64 = 5;
-/// Made-up time between rounds that look at everything, in ms; as in the leader.
-const FULL_ROUND_MS: u64 = 100;
-/// Made-up time after which all workers have been looked at again, in ms: below the length of a lease.
-const LOOKS_MS: u64 = 2_000;
+/// Simulated time between two measured events in ms.
+const EVENT_INTERVAL_MS: u64 = 5;
+/// Simulated time between full rounds in ms, as in the leader.
+const FULL_ROUND_INTERVAL_MS: u64 = 100;
+/// Simulated time between polls of all workers in ms, which is shorter than a lease.
+const POLL_INTERVAL_MS: u64 = 2_000;
 
-/// What is measured.
+/// The event that is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Case {
-    /// A look that brings the end of a task.
+    /// A poll that reports the end of a task.
     FreedWorker,
-    /// A look that brings nothing.
+    /// A poll that reports no change.
     QuietLook,
-    /// A job is handed in.
+    /// The submission of a job.
     NewJob,
-    /// A round that looks at everything.
+    /// A full round.
     FullRound,
-    /// A tick at which all runs are reviewed, with a full round.
+    /// A tick that reviews all runs, followed by a full round.
     Review,
 }
 
+/// A worker of the cell.
 struct Host {
     name: WorkerName,
     running: Vec<(TaskName, u32)>,
     last_end: u64,
 }
 
-/// A leader with its workers.
+/// A leader and its workers.
 pub(crate) struct Cell {
     leader: Leader,
     hosts: Vec<Host>,
     now_ms: u64,
-    full_round_ms: u64,
-    looks_ms: u64,
+    next_full_round_ms: u64,
+    next_polls_ms: u64,
     jobs: u64,
     next_host: usize,
-    /// Tasks of each service that started since the last job in their place.
+    /// Number of tasks started in each service since a job was last submitted to replace them.
     started: [u32; SERVICES],
 }
 
 impl Cell {
-    /// A cell with `workers` that are full, and `waiting` jobs of one step.
+    /// Creates a cell with `workers` full workers and `waiting` jobs of one step each.
     pub(crate) fn new(workers: usize, waiting: usize) -> Self {
         let now = Now { steady_ms: 1_000, unix_ms: 1_000 };
         let mut cell = Self {
             leader: Leader::new(Options::default(), Vec::new(), now),
             hosts: Vec::new(),
             now_ms: 1_000,
-            full_round_ms: 0,
-            looks_ms: 0,
+            next_full_round_ms: 0,
+            next_polls_ms: 0,
             jobs: 0,
             next_host: 0,
             started: [0; SERVICES],
         };
-        cell.list_workers(workers);
-        cell.look_at_all();
-        for number in 0..workers * TASKS_A_WORKER {
+        cell.register_workers(workers);
+        cell.poll_all_workers();
+        for number in 0..workers * TASKS_PER_WORKER {
             cell.submit(1, queue(number, 0));
         }
         cell.full_round();
         for number in 0..waiting {
-            cell.submit(WIDTH, queue(number, number / SERVICES % SORTS));
+            cell.submit(TASKS_PER_STEP, queue(number, number / SERVICES % QUEUE_KINDS));
         }
         cell.full_round();
         cell
     }
 
-    fn list_workers(&mut self, workers: usize) {
+    /// Registers the workers and the lanes for calls to the advice service.
+    fn register_workers(&mut self, workers: usize) {
         for number in 0..workers {
             let name = WorkerName::from(format!("worker-{number:05}").as_str());
             let entry = Registration {
@@ -129,19 +131,20 @@
         self.leader.handle(event, self.now());
     }
 
+    /// Creates the submission of a new job with one step of `count` tasks.
     fn submission(&mut self, count: u32, queue: v1::QueuePolicy) -> Event {
         self.jobs += 1;
         let request = Request::Submit { job: JobKey(self.jobs), plan: plan(count), queue };
         Event::Request { request_id: RequestId(self.jobs), request }
     }
 
-    /// A queue of the service of the worker at hand; its sort changes from job to job.
+    /// Returns a queue of the service of the next worker. Its kind changes from job to job.
     fn next_queue(&self) -> v1::QueuePolicy {
-        queue(self.next_host, self.jobs as usize % SORTS)
+        queue(self.next_host, self.jobs as usize % QUEUE_KINDS)
     }
 
-    /// The answer to a look at a worker; `ends` tells how many of its tasks have ended.
-    fn look(&mut self, at: usize, ends: usize) -> Event {
+    /// Returns the response to a poll of a worker of which `ends` tasks have ended.
+    fn poll_result(&mut self, at: usize, ends: usize) -> Event {
         let now_ms = self.now_ms;
         let host = &mut self.hosts[at];
         let ended: Vec<(TaskName, u32)> =
@@ -166,40 +169,41 @@
         Event::Polled { worker: host.name.clone(), sent_ms, extra: false, result: Ok(answer) }
     }
 
-    fn look_at_all(&mut self) {
-        self.looks_ms = self.now_ms + LOOKS_MS;
+    fn poll_all_workers(&mut self) {
+        self.next_polls_ms = self.now_ms + POLL_INTERVAL_MS;
         self.leader.handle(Event::LeadershipConfirmed { sent_ms: self.now_ms }, self.now());
         for at in 0..self.hosts.len() {
-            let event = self.look(at, 0);
+            let event = self.poll_result(at, 0);
             self.leader.handle(event, self.now());
         }
         self.finish();
     }
 
     fn full_round(&mut self) {
-        self.now_ms = self.now_ms.max(self.full_round_ms);
-        self.full_round_ms = self.now_ms + FULL_ROUND_MS;
+        self.now_ms = self.now_ms.max(self.next_full_round_ms);
+        self.next_full_round_ms = self.now_ms + FULL_ROUND_INTERVAL_MS;
         self.finish();
     }
 
-    /// Finishes, and answers all that the leader asks for, but looks.
+    /// Finishes the round and responds to all effects except polls.
     fn finish(&mut self) {
         let effects = self.leader.finish(self.now());
-        self.settle(effects);
+        self.carry_out(effects);
     }
 
-    fn settle(&mut self, effects: Vec<Effect>) {
-        let mut answers: Vec<Event> = Vec::new();
+    /// Responds to effects, and to those that follow from the responses.
+    fn carry_out(&mut self, effects: Vec<Effect>) {
+        let mut events: Vec<Event> = Vec::new();
         for effect in effects {
             match effect {
-                Effect::Append(_) => answers.push(Event::Appended),
+                Effect::Append(_) => events.push(Event::Appended),
                 Effect::Start { worker, task, run, .. } => {
                     let at = self.hosts.partition_point(|host| host.name < worker);
                     self.hosts[at].running.push((task, run));
-                    answers.push(Event::Started { worker, task, run, result: Ok(()) });
+                    events.push(Event::Started { worker, task, run, result: Ok(()) });
                 }
                 Effect::RequestAdvice { lane, step, workers, .. } => {
-                    answers.push(advised(lane, step, workers));
+                    events.push(advice_received(lane, step, workers));
                 }
                 Effect::Reply { .. }
                 | Effect::Poll { .. }
@@ -207,40 +211,40 @@
                 | Effect::Deposed => {}
             }
         }
-        if answers.is_empty() {
+        if events.is_empty() {
             return;
         }
-        for event in answers {
+        for event in events {
             self.leader.handle(event, self.now());
         }
         self.finish();
     }
 
-    /// Brings the cell to the moment before the next measured event: what is due by time alone is done.
+    /// Advances the cell to just before the next measured event and does everything that is due by then.
     fn advance(&mut self, case: Case) {
         self.now_ms += match case {
-            Case::FreedWorker | Case::QuietLook | Case::NewJob => PAUSE_MS,
-            Case::FullRound => FULL_ROUND_MS,
-            Case::Review => 2 * FULL_ROUND_MS,
+            Case::FreedWorker | Case::QuietLook | Case::NewJob => EVENT_INTERVAL_MS,
+            Case::FullRound => FULL_ROUND_INTERVAL_MS,
+            Case::Review => 2 * FULL_ROUND_INTERVAL_MS,
         };
         self.leader.handle(Event::LeadershipConfirmed { sent_ms: self.now_ms }, self.now());
-        if self.now_ms >= self.looks_ms {
-            self.look_at_all();
+        if self.now_ms >= self.next_polls_ms {
+            self.poll_all_workers();
         }
-        let measures_all = matches!(case, Case::FullRound | Case::Review);
-        if !measures_all && self.now_ms >= self.full_round_ms {
+        let measures_full_round = matches!(case, Case::FullRound | Case::Review);
+        if !measures_full_round && self.now_ms >= self.next_full_round_ms {
             self.full_round();
         }
     }
 
-    /// The time that one event takes, with the decisions that follow from it.
+    /// Measures the time that the leader takes for one event and the decisions that follow from it.
     pub(crate) fn measure(&mut self, case: Case) -> Duration {
         self.advance(case);
         self.next_host = (self.next_host + 7_919) % self.hosts.len();
         let event = match case {
-            Case::FreedWorker => Some(self.look(self.next_host, 1)),
-            Case::QuietLook => Some(self.look(self.next_host, 0)),
-            Case::NewJob => Some(self.submission(WIDTH, self.next_queue())),
+            Case::FreedWorker => Some(self.poll_result(self.next_host, 1)),
+            Case::QuietLook => Some(self.poll_result(self.next_host, 0)),
+            Case::NewJob => Some(self.submission(TASKS_PER_STEP, self.next_queue())),
             Case::FullRound => None,
             Case::Review => Some(Event::Tick),
         };
@@ -251,23 +255,23 @@
         }
         let effects = self.leader.finish(now);
         let took = began.elapsed();
-        self.settle(effects);
+        self.carry_out(effects);
         self.balance(case);
         took
     }
 
-    /// Keeps the number of waiting steps: a job follows for each that has started, one that was handed in is
-    /// cancelled.
+    /// Keeps the number of waiting steps constant: submits a job for each that has started, and cancels a measured
+    /// submission.
     fn balance(&mut self, case: Case) {
         match case {
             Case::FreedWorker => {
                 let started = &mut self.started[self.next_host % SERVICES];
                 *started += 1;
-                if *started < WIDTH {
+                if *started < TASKS_PER_STEP {
                     return;
                 }
                 *started = 0;
-                self.submit(WIDTH, self.next_queue());
+                self.submit(TASKS_PER_STEP, self.next_queue());
             }
             Case::NewJob => {
                 let request = Request::Cancel(JobKey(self.jobs));
@@ -280,33 +284,36 @@
     }
 }
 
-fn advised(lane: Lane, step: lilacpass_jobs::StepName, asked: Vec<WorkerName>) -> Event {
+/// Returns a response of the advice service that allows all workers.
+fn advice_received(lane: Lane, step: lilacpass_jobs::StepName, asked: Vec<WorkerName>) -> Event {
     let ticket =
         |worker: &WorkerName| WorkerTicket { worker: worker.clone(), ticket: "t".to_owned() };
     let good = asked.iter().map(ticket).collect();
     Event::AdviceReceived { lane, step, asked, advice: Some(Advice { good, valid_ms: TICKET_MS }) }
 }
 
+/// Returns the name of the service that a worker or job with this number belongs to.
 fn service(number: usize) -> String {
     format!("service-{}", number % SERVICES)
 }
 
-/// A queue of a service: without advice, with quick advice, or with slow advice.
-fn queue(number: usize, sort: usize) -> v1::QueuePolicy {
-    let (base_ms, per_worker_ms) = [(0.0, 0.0), (20.0, 0.2), (490.0, 7.0)][sort];
+/// Creates a queue of a service: without advice, with quick advice, or with slow advice.
+fn queue(number: usize, kind: usize) -> v1::QueuePolicy {
+    let (base_ms, per_worker_ms) = [(0.0, 0.0), (20.0, 0.2), (490.0, 7.0)][kind];
     let advice = v1::AdvicePolicy { base_ms, per_worker_ms, valid_ms: TICKET_MS as u32 };
     let service = service(number);
     v1::QueuePolicy {
-        name: format!("{service}-{sort}"),
+        name: format!("{service}-{kind}"),
         service,
         priority: 2,
         attempts: 3,
         stretch: 1.5,
         objective_ms: 250,
-        advice: (sort > 0).then_some(advice),
+        advice: (kind > 0).then_some(advice),
     }
 }
 
+/// Creates a plan with one step of `count` tasks.
 fn plan(count: u32) -> v1::WorkPlan {
     let step = v1::WorkStep {
         count,
--- a/lilacpass-lead/benches/flow.rs
+++ b/lilacpass-lead/benches/flow.rs
@@ -1,8 +1,8 @@
-//! The time that the leader takes for a second of made-up time in a busy cell with some room: jobs come in, their
-//! steps ask for advice, tasks start and end, and all workers are looked at.
+//! Measures the time that the leader takes for a second of simulated time in a busy cell with some free capacity: jobs are
+//! submitted, their steps request advice, tasks start and end, and all workers are polled.
 //!
-//! The load of a worker is that of a deployment with 1,100 of them: each second, 75 wide jobs, of which a third
-//! are long ones of little urgency.
+//! The load per worker is that of a deployment with 1,100 workers, which gets 75 wide jobs per second. A third of them are
+//! long and not urgent.
 
 use std::{
     collections::BTreeMap,
@@ -21,60 +21,64 @@
 };
 use lilacpass_schema::v1;
 
-/// Sizes of cells, in workers.
+/// Numbers of workers of the measured cells.
 const WORKERS: [usize; 4] = [48, 350, 1_100, 2_300];
-/// Jobs that come in each second, for each thousand workers.
-const JOBS_A_SECOND: u64 = 68;
-/// One job in so many is long.
-const LONG_IN: u64 = 3;
-/// Workers for each instance that calls for advice.
-const WORKERS_A_LANE: usize = 8;
-/// Made-up time in ms until an append is stored, a worker has answered, and between ticks.
+/// Number of jobs submitted per second for each thousand workers.
+const JOBS_PER_SECOND: u64 = 68;
+/// One job in this many is long.
+const JOBS_PER_LONG_JOB: u64 = 3;
+/// Number of workers for each instance that calls the advice service.
+const WORKERS_PER_LANE: usize = 8;
+/// Simulated time in ms until an append is stored, until a worker has responded, and between ticks.
 const APPEND_MS: u64 = 8;
-const ANSWER_MS: u64 = 2;
+const RESPONSE_MS: u64 = 2;
 const TICK_MS: u64 = 50;
-/// Made-up time between updates of the lanes, in ms.
-const LANES_MS: u64 = 200;
-/// How long a ticket is valid, in ms.
+/// Simulated time between updates of the lanes in ms.
+const LANES_INTERVAL_MS: u64 = 200;
+/// Validity of a ticket in ms.
 const TICKET_MS: u64 = 2_500;
-/// Made-up time in ms until a cell is busy.
+/// Simulated time in ms until a cell is busy.
 const WARM_UP_MS: u64 = 8_000;
 
-enum Todo {
-    Tell(Event),
-    End {
-        host: usize,
-        task: TaskName,
-        run: u32,
-    },
-    /// The wait of a look is over.
-    Waited {
-        host: usize,
-        look: u64,
-    },
+/// A scheduled action of the simulation.
+enum Action {
+    /// Deliver an event to the leader.
+    Deliver(Event),
+    /// End a run.
+    EndRun { host: usize, task: TaskName, run: u32 },
+    /// End the wait of a poll.
+    EndPollWait { host: usize, poll: u64 },
+    /// Submit a job.
     Submit,
+    /// Deliver a tick.
     Tick,
+    /// Update the lanes.
     SetLanes,
 }
 
+/// A worker of the cell.
 struct Host {
     name: WorkerName,
     running: BTreeMap<TaskName, u32>,
     ends: Vec<ReportedEnd>,
     last_end: u64,
-    /// The look that waits, and when it was sent.
-    look: Option<(u64, u64)>,
+    /// Number of the pending poll, and when it was sent.
+    poll: Option<(u64, u64)>,
 }
 
+/// A leader with a simulated cell.
 struct Flow {
     leader: Leader,
     hosts: Vec<Host>,
     now_ms: u64,
-    todo: EventQueue<Todo>,
-    looks: u64,
+    actions: EventQueue<Action>,
+    poll_count: u64,
     jobs: u64,
+    /// Run time of the tasks of each job in ms.
     plans: BTreeMap<JobKey, u32>,
+    /// Time that the leader took since [`Flow::run`] was called.
     took: Duration,
+    /// Time that the leader took for each event.
     rounds: Vec<Duration>,
 }
 
@@ -86,8 +90,8 @@
             leader: Leader::new(Options::default(), Vec::new(), now),
             hosts: Vec::new(),
             now_ms,
-            todo: EventQueue::default(),
-            looks: 0,
+            actions: EventQueue::default(),
+            poll_count: 0,
             jobs: 0,
             plans: BTreeMap::new(),
             took: Duration::ZERO,
@@ -96,9 +100,9 @@
         for number in 0..workers {
             flow.add_worker(number);
         }
-        flow.plan(0, Todo::SetLanes);
-        flow.plan(0, Todo::Tick);
-        flow.plan(100, Todo::Submit);
+        flow.schedule(0, Action::SetLanes);
+        flow.schedule(0, Action::Tick);
+        flow.schedule(100, Action::Submit);
         flow.run(WARM_UP_MS);
         flow
     }
@@ -115,52 +119,52 @@
             labels: vec!["a".to_owned(), format!("rack-{}", number / 8)],
             draining: false,
         };
-        self.plan(0, Todo::Tell(Event::WorkerRegistered(entry)));
+        self.schedule(0, Action::Deliver(Event::WorkerRegistered(entry)));
         let (running, ends) = (BTreeMap::new(), Vec::new());
-        self.hosts.push(Host { name, running, ends, last_end: 0, look: None });
+        self.hosts.push(Host { name, running, ends, last_end: 0, poll: None });
     }
 
-    fn plan(&mut self, after_ms: u64, todo: Todo) {
-        self.todo.schedule(self.now_ms + after_ms, todo);
+    fn schedule(&mut self, after_ms: u64, action: Action) {
+        self.actions.schedule(self.now_ms + after_ms, action);
     }
 
-    /// Lets time pass. Returns the time that the leader took.
+    /// Advances the simulated time and returns the time that the leader took.
     fn run(&mut self, for_ms: u64) -> Duration {
         let end_ms = self.now_ms + for_ms;
         self.took = Duration::ZERO;
-        while let Some((at_ms, todo)) = self.todo.pop_until(end_ms) {
+        while let Some((at_ms, action)) = self.actions.pop_until(end_ms) {
             self.now_ms = at_ms;
-            self.act(todo);
+            self.perform(action);
         }
         self.now_ms = end_ms;
         self.took
     }
 
-    fn act(&mut self, todo: Todo) {
-        match todo {
-            Todo::Tell(event) => self.tell(event),
-            Todo::End { host, task, run } => self.end(host, task, run),
-            Todo::Waited { host, look } => {
-                if self.hosts[host].look.is_some_and(|(waiting, _)| waiting == look) {
-                    self.answer_look(host);
+    fn perform(&mut self, action: Action) {
+        match action {
+            Action::Deliver(event) => self.deliver(event),
+            Action::EndRun { host, task, run } => self.end_run(host, task, run),
+            Action::EndPollWait { host, poll } => {
+                if self.hosts[host].poll.is_some_and(|(waiting, _)| waiting == poll) {
+                    self.answer_poll(host);
                 }
             }
-            Todo::Submit => self.submit(),
-            Todo::Tick => {
-                self.plan(TICK_MS, Todo::Tick);
-                self.tell(Event::LeadershipConfirmed { sent_ms: self.now_ms });
-                self.tell(Event::Tick);
+            Action::Submit => self.submit(),
+            Action::Tick => {
+                self.schedule(TICK_MS, Action::Tick);
+                self.deliver(Event::LeadershipConfirmed { sent_ms: self.now_ms });
+                self.deliver(Event::Tick);
             }
-            Todo::SetLanes => {
-                self.plan(LANES_MS, Todo::SetLanes);
-                let count = (self.hosts.len() / WORKERS_A_LANE).max(3);
+            Action::SetLanes => {
+                self.schedule(LANES_INTERVAL_MS, Action::SetLanes);
+                let count = (self.hosts.len() / WORKERS_PER_LANE).max(3);
                 let lanes = (0..count).map(|lane| Lane(format!("lane-{lane:03}"))).collect();
-                self.tell(Event::Lanes(lanes));
+                self.deliver(Event::Lanes(lanes));
             }
         }
     }
 
-    fn tell(&mut self, event: Event) {
+    fn deliver(&mut self, event: Event) {
         let now = Now { steady_ms: self.now_ms, unix_ms: self.now_ms };
         let began = Instant::now();
         self.leader.handle(event, now);
@@ -175,33 +179,33 @@
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Append(_) => self.plan(APPEND_MS, Todo::Tell(Event::Appended)),
+            Effect::Append(_) => self.schedule(APPEND_MS, Action::Deliver(Event::Appended)),
             Effect::Poll { worker, forget_up_to, wait_ms, .. } => {
                 let at = self.host(&worker);
-                self.looks += 1;
-                let look = self.looks;
+                self.poll_count += 1;
+                let poll = self.poll_count;
                 let host = &mut self.hosts[at];
-                host.look = Some((look, self.now_ms));
+                host.poll = Some((poll, self.now_ms));
                 host.ends.retain(|row| row.number > forget_up_to);
                 let wait_ms = if host.ends.is_empty() { wait_ms } else { 0 };
-                self.plan(wait_ms, Todo::Waited { host: at, look });
+                self.schedule(wait_ms, Action::EndPollWait { host: at, poll });
             }
             Effect::Start { worker, task, run, .. } => {
                 let host = self.host(&worker);
                 self.hosts[host].running.insert(task, run);
                 let ms = u64::from(self.plans[&task.step.job]);
-                // Tasks of a step are alike but not the same.
+                // Run times of the tasks of a step vary slightly.
                 let ms = ms * (85 + u64::from(task.index) * 7 % 30) / 100;
-                self.plan(ANSWER_MS + ms, Todo::End { host, task, run });
+                self.schedule(RESPONSE_MS + ms, Action::EndRun { host, task, run });
                 let event = Event::Started { worker, task, run, result: Ok(()) };
-                self.plan(ANSWER_MS, Todo::Tell(event));
+                self.schedule(RESPONSE_MS, Action::Deliver(event));
             }
             Effect::RequestAdvice { lane, step, workers, expected_ms } => {
-                self.plan(expected_ms, Todo::Tell(advised(lane, step, workers)));
+                self.schedule(expected_ms, Action::Deliver(advice_received(lane, step, workers)));
             }
             Effect::Stop { worker, task, run, .. } => {
                 let event = Event::Stopped { worker, task, run, result: Ok(()) };
-                self.plan(ANSWER_MS, Todo::Tell(event));
+                self.schedule(RESPONSE_MS, Action::Deliver(event));
             }
             Effect::Reply { .. } | Effect::Deposed => {}
         }
@@ -211,21 +215,21 @@
         self.hosts.partition_point(|host| host.name < *worker)
     }
 
-    fn end(&mut self, at: usize, task: TaskName, run: u32) {
+    fn end_run(&mut self, at: usize, task: TaskName, run: u32) {
         let host = &mut self.hosts[at];
         host.running.remove(&task);
         host.last_end += 1;
         let end = RunEnd { run, reason: EndReason::Done, checkpoint: String::new() };
         host.ends.push(ReportedEnd { number: host.last_end, task, end });
-        if host.look.is_some() {
-            self.answer_look(at);
+        if host.poll.is_some() {
+            self.answer_poll(at);
         }
     }
 
-    fn answer_look(&mut self, at: usize) {
+    fn answer_poll(&mut self, at: usize) {
         let clock_ms = self.now_ms;
         let host = &mut self.hosts[at];
-        let Some((_, sent_ms)) = host.look.take() else { return };
+        let Some((_, sent_ms)) = host.poll.take() else { return };
         let row = |(&task, &run): (&TaskName, &u32)| ReportedRun {
             task,
             run,
@@ -238,15 +242,15 @@
             PollResponse { clock_ms, running, ends: host.ends.clone(), remaining_ms: None };
         let worker = host.name.clone();
         let event = Event::Polled { worker, sent_ms, extra: false, result: Ok(answer) };
-        self.plan(ANSWER_MS, Todo::Tell(event));
+        self.schedule(RESPONSE_MS, Action::Deliver(event));
     }
 
     fn submit(&mut self) {
-        let a_second = (self.hosts.len() as u64 * JOBS_A_SECOND / 1_000).max(1);
-        self.plan(1_000 / a_second.min(1_000), Todo::Submit);
+        let per_second = (self.hosts.len() as u64 * JOBS_PER_SECOND / 1_000).max(1);
+        self.schedule(1_000 / per_second.min(1_000), Action::Submit);
         self.jobs += 1;
         let number = self.jobs;
-        let is_long = number.is_multiple_of(LONG_IN);
+        let is_long = number.is_multiple_of(JOBS_PER_LONG_JOB);
         let job = JobKey(number);
         let estimate_ms = if is_long { 4_800 } else { 640 };
         self.plans.insert(job, estimate_ms);
@@ -256,12 +260,12 @@
         let steps = 1 + number as usize % 2;
         let plan = plan(steps, width, 9_000 + (number * 37 % 11) as u32 * 1_000, estimate_ms);
         let request = Request::Submit { job, plan, queue };
-        self.tell(Event::Request { request_id: RequestId(number), request });
+        self.deliver(Event::Request { request_id: RequestId(number), request });
     }
 }
 
-/// Two in three workers are allowed, for each step others.
-fn advised(lane: Lane, step: StepName, asked: Vec<WorkerName>) -> Event {
+/// Returns a response of the advice service that allows two in three workers, which differ from job to job.
+fn advice_received(lane: Lane, step: StepName, asked: Vec<WorkerName>) -> Event {
     let is_good = |worker: &&WorkerName| {
         let last = worker.as_str().bytes().last().map_or(0, u64::from);
         !(last + step.job.0).is_multiple_of(3)
@@ -285,7 +289,7 @@
     }
 }
 
-/// Steps of `width` tasks, each after the one before.
+/// Creates a plan with a chain of steps of `width` tasks each.
 fn plan(steps: usize, width: u32, cpu_milli: u32, estimate_ms: u32) -> v1::WorkPlan {
     let step = |number: usize| v1::WorkStep {
         count: width,
--- a/lilacpass-lead/benches/round.rs
+++ b/lilacpass-lead/benches/round.rs
@@ -1,6 +1,6 @@
-//! The time of one round of deciding, by the number of workers and of waiting steps, in a cell without room.
+//! Measures the time of one scheduling round in a full cell, by the number of workers and of waiting steps.
 //!
-//! After the means of each size follow the median and the 99th percentile of single decisions.
+//! The mean times of each size are followed by the median and the 99th percentile of single decisions.
 
 mod cell;
 
@@ -9,18 +9,18 @@
 use cell::{Case, Cell};
 use criterion::{Criterion, criterion_group, criterion_main};
 
-/// Sizes of cells, in workers.
+/// Numbers of workers of the measured cells.
 const WORKERS: [usize; 4] = [48, 350, 1_100, 2_300];
-/// Steps that wait.
+/// Numbers of waiting steps.
 const WAITING: [usize; 4] = [10, 100, 1_000, 10_000];
 const CASES: [Case; 5] =
     [Case::FullRound, Case::Review, Case::FreedWorker, Case::QuietLook, Case::NewJob];
-/// The cases that single decisions are made of.
+/// Cases that single decisions cycle through.
 const DECISIONS: [Case; 3] = [Case::FreedWorker, Case::QuietLook, Case::NewJob];
-/// Single decisions of which percentiles are told.
-const SINGLE: usize = 300;
-/// Time for all single decisions of a cell, after which fewer have to do.
-const SINGLE_TIME: Duration = Duration::from_secs(3);
+/// Number of single decisions that the percentiles are computed from.
+const SINGLE_DECISIONS: usize = 300;
+/// Maximum total time of the single decisions of a cell, after which fewer are used.
+const MAX_SINGLE_TIME: Duration = Duration::from_secs(3);
 
 fn rounds(c: &mut Criterion) {
     for workers in WORKERS {
@@ -33,20 +33,21 @@
                 });
             }
             if let Some(cell) = &mut cell {
-                tell_percentiles(cell, workers, waiting);
+                print_percentiles(cell, workers, waiting);
             }
         }
     }
 }
 
-fn tell_percentiles(cell: &mut Cell, workers: usize, waiting: usize) {
+/// Measures single decisions and prints their median and 99th percentile.
+fn print_percentiles(cell: &mut Cell, workers: usize, waiting: usize) {
     let mut times = Vec::new();
-    let mut all = Duration::ZERO;
-    for case in DECISIONS.into_iter().cycle().take(SINGLE) {
+    let mut total = Duration::ZERO;
+    for case in DECISIONS.into_iter().cycle().take(SINGLE_DECISIONS) {
         let took = cell.measure(case);
         times.push(took);
-        all += took;
-        if all > SINGLE_TIME {
+        total += took;
+        if total > MAX_SINGLE_TIME {
             break;
         }
     }
