--- a/lilacpass-lab/src/cell.rs
+++ b/lilacpass-lab/src/cell.rs
@@ -312,7 +312,7 @@
         let free_ms = self.lanes_free_ms.get(&lane).copied().unwrap_or(0).max(self.now_ms);
         let answered_ms = free_ms + takes_ms + HOP_MS;
         self.lanes_free_ms.insert(lane.clone(), answered_ms);
-        let event = Event::AdviceReceived { lane, step, asked: workers, advice };
+        let event = Event::AdviceReceived { lane, step, queried: workers, advice };
         self.plan(answered_ms, Action::Tell(event));
     }
 
--- a/lilacpass-lead/benches/cell/mod.rs
+++ b/lilacpass-lead/benches/cell/mod.rs
@@ -285,11 +285,16 @@
 }
 
 /// Returns a response of the advice service that allows all workers.
-fn advice_received(lane: Lane, step: lilacpass_jobs::StepName, asked: Vec<WorkerName>) -> Event {
+fn advice_received(lane: Lane, step: lilacpass_jobs::StepName, queried: Vec<WorkerName>) -> Event {
     let ticket =
         |worker: &WorkerName| WorkerTicket { worker: worker.clone(), ticket: "t".to_owned() };
-    let good = asked.iter().map(ticket).collect();
-    Event::AdviceReceived { lane, step, asked, advice: Some(Advice { good, valid_ms: TICKET_MS }) }
+    let good = queried.iter().map(ticket).collect();
+    Event::AdviceReceived {
+        lane,
+        step,
+        queried,
+        advice: Some(Advice { good, valid_ms: TICKET_MS }),
+    }
 }
 
 /// Returns the name of the service that a worker or job with this number belongs to.
--- a/lilacpass-lead/benches/flow.rs
+++ b/lilacpass-lead/benches/flow.rs
@@ -265,15 +265,20 @@
 }
 
 /// Returns a response of the advice service that allows two in three workers, which differ from job to job.
-fn advice_received(lane: Lane, step: StepName, asked: Vec<WorkerName>) -> Event {
+fn advice_received(lane: Lane, step: StepName, queried: Vec<WorkerName>) -> Event {
     let is_good = |worker: &&WorkerName| {
         let last = worker.as_str().bytes().last().map_or(0, u64::from);
         !(last + step.job.0).is_multiple_of(3)
     };
     let ticket =
         |worker: &WorkerName| WorkerTicket { worker: worker.clone(), ticket: "t".to_owned() };
-    let good = asked.iter().filter(is_good).map(ticket).collect();
-    Event::AdviceReceived { lane, step, asked, advice: Some(Advice { good, valid_ms: TICKET_MS }) }
+    let good = queried.iter().filter(is_good).map(ticket).collect();
+    Event::AdviceReceived {
+        lane,
+        step,
+        queried,
+        advice: Some(Advice { good, valid_ms: TICKET_MS }),
+    }
 }
 
 fn queue(name: &str, priority: u32, (base_ms, per_worker_ms): (f64, f64)) -> v1::QueuePolicy {
--- a/lilacpass-lead/src/advance_reservations.rs
+++ b/lilacpass-lead/src/advance_reservations.rs
@@ -144,14 +144,14 @@
         let mut ends: Vec<(u64, Resources)> = worker
             .runs
             .iter()
-            .filter_map(|((task, _), given)| {
+            .filter_map(|((task, _), assigned)| {
                 let running = self.jobs.get(&task.step.job)?.job.step_plan(task.step.step);
                 let estimate_ms = u64::from(running.estimate_ms);
-                let remaining_ms = given
+                let remaining_ms = assigned
                     .progress
                     .and_then(|seen| seen.estimated_remaining_ms(now.steady_ms))
                     .unwrap_or(estimate_ms);
-                (!running.lasting).then_some((remaining_ms, given.need))
+                (!running.lasting).then_some((remaining_ms, assigned.need))
             })
             .collect();
         ends.sort_by_key(|(remaining_ms, _)| *remaining_ms);
--- a/lilacpass-lead/src/advice.rs
+++ b/lilacpass-lead/src/advice.rs
@@ -75,11 +75,11 @@
         self.verdicts.iter().filter(|(_, is_allowed)| **is_allowed).map(|(worker, _)| worker)
     }
 
-    /// Records the response to a call that named `asked`; `None` if the call failed. `margin_ms` is subtracted from the
+    /// Records the response to a call that named the workers `queried`; `None` if the call failed. `margin_ms` is subtracted from the
     /// validity of the tickets.
     pub fn record_response(
         &mut self,
-        asked: &[WorkerName],
+        queried: &[WorkerName],
         advice: Option<Advice>,
         margin_ms: u64,
         now_ms: u64,
@@ -94,7 +94,7 @@
             self.verdicts.insert(row.worker.clone(), true);
             self.tickets.insert(row.worker, Ticket { text: row.ticket, until_ms });
         }
-        for worker in asked {
+        for worker in queried {
             self.verdicts.entry(worker.clone()).or_insert(false);
         }
     }
--- a/lilacpass-lead/src/advice_requests.rs
+++ b/lilacpass-lead/src/advice_requests.rs
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Returns up to `max` workers, beyond those in `asked`, of which it is unknown whether the step may run there.
+    /// Returns up to `max` workers, beyond those in `queried`, of which it is unknown whether the step may run there.
     /// They need not have free capacity now.
     ///
     /// Which workers may run a step never changes, so the result stays useful. When only the few workers with enough
@@ -139,22 +139,22 @@
         &self,
         name: StepName,
         plan: &v1::WorkStep,
-        asked: &[WorkerName],
+        queried: &[WorkerName],
         max: usize,
     ) -> Vec<WorkerName> {
         let Some(entry) = self.jobs.get(&name.job) else { return Vec::new() };
         let need = place::need(plan);
         let advice = self.advice.get(&name);
-        let asked: HashSet<&WorkerName> = asked.iter().collect();
+        let queried: HashSet<&WorkerName> = queried.iter().collect();
         let is_unknown = |worker: &&Worker| {
             worker.registered
                 && !worker.draining
                 && need.fits(&worker.registration.capacity)
                 && place::is_eligible(worker, &entry.job.queue.service, plan)
                 && advice.is_none_or(|advice| advice.verdict(&worker.registration.name).is_none())
-                && !asked.contains(&worker.registration.name)
+                && !queried.contains(&worker.registration.name)
         };
-        let max = max.min(MAX_WORKERS_PER_CALL.saturating_sub(asked.len()));
+        let max = max.min(MAX_WORKERS_PER_CALL.saturating_sub(queried.len()));
         let unknown = self.workers.values().filter(is_unknown).take(max);
         unknown.map(|worker| worker.registration.name.clone()).collect()
     }
@@ -164,16 +164,16 @@
         &mut self,
         lane: &Lane,
         step: StepName,
-        asked: &[WorkerName],
+        queried: &[WorkerName],
         response: Option<Advice>,
         now: Now,
     ) {
         self.lanes.release(lane);
         let Some(entry) = self.jobs.get(&step.job) else { return };
         let good = response.as_ref().map(|response| response.good.len());
-        log::info!(step:% = step, asked = asked.len(), good:? = good; "advice received");
+        log::info!(step:% = step, asked = queried.len(), good:? = good; "advice received");
         if let Some(response) = &response {
-            let share = response.good.len() as f64 / asked.len().max(1) as f64;
+            let share = response.good.len() as f64 / queried.len().max(1) as f64;
             let learned = self
                 .allowed_shares
                 .entry(entry.job.queue.name.clone())
@@ -182,9 +182,9 @@
         }
         let margin_ms = self.options.ticket_margin_ms;
         let known = self.advice.entry(step).or_default();
-        known.record_response(asked, response, margin_ms, now.steady_ms);
+        known.record_response(queried, response, margin_ms, now.steady_ms);
         let is_bad = |worker: &WorkerName| known.verdict(worker) == Some(false);
-        for worker in asked.iter().filter(|worker| known.verdict(worker) == Some(true)) {
+        for worker in queried.iter().filter(|worker| known.verdict(worker) == Some(true)) {
             self.allowed_steps.entry(worker.clone()).or_default().insert(step);
         }
         if self.reservations.workers_of(step).iter().any(is_bad) {
--- a/lilacpass-lead/src/event.rs
+++ b/lilacpass-lead/src/event.rs
@@ -250,7 +250,7 @@
         /// Step that the advice is for.
         step: StepName,
         /// Workers that were named in the call.
-        asked: Vec<WorkerName>,
+        queried: Vec<WorkerName>,
         /// The response; `None` if there was no usable one.
         advice: Option<Advice>,
     },
--- a/lilacpass-lead/src/inspect.rs
+++ b/lilacpass-lead/src/inspect.rs
@@ -105,8 +105,8 @@
         }
         for worker in self.workers.values() {
             status.tasks_on_trial += u64::from(worker.trial.is_some());
-            for given in worker.runs.values() {
-                *status.runs.entry(phase_name(given.phase)).or_default() += 1;
+            for assigned in worker.runs.values() {
+                *status.runs.entry(phase_name(assigned.phase)).or_default() += 1;
             }
             status.workers.push(WorkerStatus {
                 name: worker.registration.name.to_string(),
@@ -158,11 +158,11 @@
                 explanation.crashes.push(row);
             }
             for run in &task.runs {
-                let given = self
+                let assigned = self
                     .workers
                     .get(&run.worker)
                     .and_then(|worker| worker.runs.get(&(task_name, run.number)));
-                let phase = given.map_or("unknown", |given| phase_name(given.phase));
+                let phase = assigned.map_or("unknown", |assigned| phase_name(assigned.phase));
                 let row = format!("{task_name} run {} on {}: {phase}", run.number, run.worker);
                 explanation.runs.push(row);
             }
--- a/lilacpass-lead/src/leader.rs
+++ b/lilacpass-lead/src/leader.rs
@@ -260,8 +260,8 @@
             Event::Stopped { worker, task, run, result } => {
                 self.on_stopped(&worker, task, run, result, now);
             }
-            Event::AdviceReceived { lane, step, asked, advice } => {
-                self.on_advice_received(&lane, step, &asked, advice, now);
+            Event::AdviceReceived { lane, step, queried, advice } => {
+                self.on_advice_received(&lane, step, &queried, advice, now);
             }
             Event::WorkerRegistered(entry) => self.on_listed(entry),
             Event::WorkerUnregistered(name) => self.on_unlisted(&name),
--- a/lilacpass-lead/src/preempt.rs
+++ b/lilacpass-lead/src/preempt.rs
@@ -128,8 +128,8 @@
         let mut victims: Vec<(u64, Victim)> = worker
             .runs
             .iter()
-            .filter(|(key, given)| self.may_preempt(**key, given, priority))
-            .map(|(key, given)| (since_ms(given), (*key, given.need)))
+            .filter(|(key, assigned)| self.may_preempt(**key, assigned, priority))
+            .map(|(key, assigned)| (since_ms(assigned), (*key, assigned.need)))
             .collect();
         victims.sort_by_key(|(since_ms, _)| std::cmp::Reverse(*since_ms));
         victims.into_iter().map(|(_, victim)| victim).collect()
@@ -137,7 +137,7 @@
 
     /// Returns whether a run may be stopped for work of this priority. It must be less urgent, able to resume from a
     /// checkpoint, not about to end, and not preempted too often before.
-    fn may_preempt(&self, key: RunKey, given: &AssignedRun, priority: u32) -> bool {
+    fn may_preempt(&self, key: RunKey, assigned: &AssignedRun, priority: u32) -> bool {
         let Some(entry) = self.jobs.get(&key.0.step.job) else { return false };
         let plan = entry.job.step_plan(key.0.step.step);
         let stops = entry.preemptions.get(&key.0).copied().unwrap_or(0);
@@ -147,14 +147,14 @@
             && !plan.lasting
             && !plan.fills
             && stops < MAX_PREEMPTIONS_PER_TASK
-            && matches!(given.phase, Phase::Running { .. })
-            && !given.progress.is_some_and(|seen| seen.is_nearly_done())
+            && matches!(assigned.phase, Phase::Running { .. })
+            && !assigned.progress.is_some_and(|seen| seen.is_nearly_done())
     }
 }
 
 /// Returns the time since when a run is known to be running, on the monotonic clock; 0 if it is not running.
-fn since_ms(given: &AssignedRun) -> u64 {
-    match given.phase {
+fn since_ms(assigned: &AssignedRun) -> u64 {
+    match assigned.phase {
         Phase::Running { since_ms } => since_ms,
         Phase::Recording | Phase::Ordered | Phase::Uncertain { .. } | Phase::Stopping { .. } => 0,
     }
--- a/lilacpass-lead/src/reindex.rs
+++ b/lilacpass-lead/src/reindex.rs
@@ -48,8 +48,8 @@
             }
             let is_waiting = has_waiting_tasks(entry, name);
             if is_waiting && job.step_may_start(name, now.unix_ms) {
-                let sort = StepKind::of(job.step_plan(name.step), job.queue.advice.is_some());
-                if self.waiting.add(name, sort, now.steady_ms, || rank::of_step(job, name)) {
+                let kind = StepKind::of(job.step_plan(name.step), job.queue.advice.is_some());
+                if self.waiting.add(name, kind, now.steady_ms, || rank::of_step(job, name)) {
                     // It may request advice from the next round on.
                     self.advice_queue.delay(name, now.steady_ms);
                 }
--- a/lilacpass-lead/tests/world/mod.rs
+++ b/lilacpass-lead/tests/world/mod.rs
@@ -393,7 +393,7 @@
                     .map(|worker| WorkerTicket { worker: worker.clone(), ticket: "t".to_owned() })
                     .collect();
                 let advice = Some(Advice { good, valid_ms: 2_500 });
-                let event = Event::AdviceReceived { lane, step, asked: workers, advice };
+                let event = Event::AdviceReceived { lane, step, queried: workers, advice };
                 self.plan(expected_ms.max(LEAST_ADVICE_MS), Action::Deliver { member, event });
             }
             Effect::Deposed => self.instances[member].alive = false,
--- a/lilacpass-node/src/leader_loop.rs
+++ b/lilacpass-node/src/leader_loop.rs
@@ -351,7 +351,7 @@
                     } else {
                         peers::advise_through_peer(&node, &lane.0, step, &workers, timeout).await
                     };
-                    Event::AdviceReceived { lane, step, asked: workers, advice }
+                    Event::AdviceReceived { lane, step, queried: workers, advice }
                 });
             }
             Effect::Deposed => {
