--- a/lilacpass-lead/src/leader.rs
+++ b/lilacpass-lead/src/leader.rs
@@ -250,7 +250,7 @@
                 self.refuse_unstored_jobs(now);
             }
             Event::LeadershipConfirmed { sent_ms } => {
-                self.leadership_confirmed_ms = self.leadership_confirmed_ms.max(sent_ms)
+                self.leadership_confirmed_ms = self.leadership_confirmed_ms.max(sent_ms);
             }
             Event::Polled { worker, sent_ms, extra, result } => {
                 self.on_polled(&worker, sent_ms, extra, result, now);
--- a/lilacpass-lead/src/recording.rs
+++ b/lilacpass-lead/src/recording.rs
@@ -16,10 +16,10 @@
             match after {
                 OnStored::Accept(request_id, key) => self.confirm_submission(request_id, key),
                 OnStored::Reply(request_id, response) => {
-                    self.effects.push(Effect::Reply { request_id, response })
+                    self.effects.push(Effect::Reply { request_id, response });
                 }
                 OnStored::SendStart { worker, task, run } => {
-                    self.send_start(&worker, task, run, now)
+                    self.send_start(&worker, task, run, now);
                 }
                 OnStored::ForgetEnds { worker, upto } => {
                     if let Some(worker) = self.workers.get_mut(&worker) {
