--- a/lilacpass-lead/benches/flow.rs
+++ b/lilacpass-lead/benches/flow.rs
@@ -1,8 +1,8 @@
-//! Measures the time that the leader takes for a second of simulated time in a busy cell with some free capacity: jobs are
-//! submitted, their steps request advice, tasks start and end, and all workers are polled.
+//! Measures the time that the leader takes for a second of simulated time in a busy cell with some free capacity: jobs
+//! are submitted, their steps request advice, tasks start and end, and all workers are polled.
 //!
-//! The load per worker is that of a deployment with 1,100 workers, which gets 75 wide jobs per second. A third of them are
-//! long and not urgent.
+//! The load per worker is that of a deployment with 1,100 workers, which gets 75 wide jobs per second. A third of them
+//! are long and not urgent.
 
 use std::{
     collections::BTreeMap,
--- a/lilacpass-lead/src/advance_reservations.rs
+++ b/lilacpass-lead/src/advance_reservations.rs
@@ -13,8 +13,8 @@
     worker::Worker,
 };
 
-/// Time in ms that a step waits before capacity is reserved in advance for it. Most steps wait for less in a pool that is
-/// merely busy, and reserved capacity stays idle until all of it is free.
+/// Time in ms that a step waits before capacity is reserved in advance for it. Most steps wait for less in a pool that
+/// is merely busy, and reserved capacity stays idle until all of it is free.
 const MIN_WAIT_MS: u64 = 4_000;
 /// At most one step per this many workers of a pool has an advance reservation, so that most of the pool keeps running
 /// whatever fits.
@@ -130,8 +130,8 @@
             .collect()
     }
 
-    /// Returns the expected time in ms until a worker has enough free capacity for a task in addition to what is reserved
-    /// there for other steps. Returns `None` if long-running tasks or reservations use too much.
+    /// Returns the expected time in ms until a worker has enough free capacity for a task in addition to what is
+    /// reserved there for other steps. Returns `None` if long-running tasks or reservations use too much.
     fn time_until_free_ms(
         &self,
         worker: &Worker,
--- a/lilacpass-lead/src/advice.rs
+++ b/lilacpass-lead/src/advice.rs
@@ -75,8 +75,8 @@
         self.verdicts.iter().filter(|(_, is_allowed)| **is_allowed).map(|(worker, _)| worker)
     }
 
-    /// Records the response to a call that named the workers `queried`; `None` if the call failed. `margin_ms` is subtracted from the
-    /// validity of the tickets.
+    /// Records the response to a call that named the workers `queried`; `None` if the call failed. `margin_ms` is
+    /// subtracted from the validity of the tickets.
     pub fn record_response(
         &mut self,
         queried: &[WorkerName],
@@ -153,8 +153,8 @@
     },
 }
 
-/// Totals over all lanes, updated whenever one changes. They are read for each waiting step after each event, and a cell
-/// has a hundred lanes.
+/// Totals over all lanes, updated whenever one changes. They are read for each waiting step after each event, and a
+/// cell has a hundred lanes.
 #[derive(Debug, Default)]
 struct Load {
     has_idle: bool,
@@ -178,8 +178,8 @@
         self.update_load();
     }
 
-    /// Acquires an idle lane for a call for a step of `queue` that takes about `expected_ms`. Returns `None` if there is
-    /// none that it may use.
+    /// Acquires an idle lane for a call for a step of `queue` that takes about `expected_ms`. Returns `None` if there
+    /// is none that it may use.
     pub fn acquire(&mut self, queue: &str, expected_ms: u64) -> Option<Lane> {
         if !self.may_call(queue, expected_ms) {
             return None;
--- a/lilacpass-lead/src/advice_queue.rs
+++ b/lilacpass-lead/src/advice_queue.rs
@@ -1,8 +1,8 @@
 //! Queue of the waiting steps that may request advice, in scheduling order.
 //!
-//! Load pattern: hundreds of steps wait for capacity in a cell with a hundred lanes, some of which are idle at any time.
-//! Most of the steps have already requested advice, or their queue holds all the lanes it may use. Going through all
-//! steps after each event would take most of the time of a leader with hundreds of workers.
+//! Load pattern: hundreds of steps wait for capacity in a cell with a hundred lanes, some of which are idle at any
+//! time. Most of the steps have already requested advice, or their queue holds all the lanes it may use. Going through
+//! all steps after each event would take most of the time of a leader with hundreds of workers.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -81,8 +81,8 @@
         due
     }
 
-    /// Returns the first step after `last` whose queue may make a call. `may_call` receives the name of the queue and the
-    /// minimum duration of the call in ms.
+    /// Returns the first step after `last` whose queue may make a call. `may_call` receives the name of the queue and
+    /// the minimum duration of the call in ms.
     pub fn next_after(
         &self,
         last: Option<Rank>,
--- a/lilacpass-lead/src/candidates.rs
+++ b/lilacpass-lead/src/candidates.rs
@@ -21,9 +21,9 @@
 /// If fewer than one worker in this many has enough free capacity, all of those are rated and sorted.
 const RATE_ALL_DIVISOR: usize = 8;
 
-/// Maximum number of workers that are tried in order of preference before all workers are rated instead. Trying a worker
-/// this way costs several times as much, and a step that has already asked about all workers with enough free capacity
-/// would search in vain again and again.
+/// Maximum number of workers that are tried in order of preference before all workers are rated instead. Trying a
+/// worker this way costs several times as much, and a step that has already asked about all workers with enough free
+/// capacity would search in vain again and again.
 const MAX_PREFERRED_TRIES: usize = 32;
 
 /// How many tasks a call for advice should find workers for.
--- a/lilacpass-lead/src/capacity_index.rs
+++ b/lilacpass-lead/src/capacity_index.rs
@@ -1,5 +1,5 @@
-//! Index of the workers by free capacity. It finds the workers on which a task fits, and the most suitable ones, without
-//! a scan of all workers.
+//! Index of the workers by free capacity. It finds the workers on which a task fits, and the most suitable ones,
+//! without a scan of all workers.
 //!
 //! Load pattern: a full cell of a thousand workers, in which hundreds of steps look for capacity again and again and
 //! hardly any worker has some.
@@ -44,8 +44,8 @@
     key: PreferenceKey,
 }
 
-/// Sort key of a worker, made of the parts of [`place::Score`] that depend on its free capacity. The smallest key is the
-/// most preferred.
+/// Sort key of a worker, made of the parts of [`place::Score`] that depend on its free capacity. The smallest key is
+/// the most preferred.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PreferenceKey {
     used_accelerators: Reverse<u64>,
--- a/lilacpass-lead/src/inspect.rs
+++ b/lilacpass-lead/src/inspect.rs
@@ -21,7 +21,8 @@
     pub not_begun_jobs: BTreeMap<String, u64>,
     /// Number of steps that wait for capacity or advice.
     pub waiting_steps: u64,
-    /// Number of tasks that run on trial without other suspected tasks, because workers have crashed while running them.
+    /// Number of tasks that run on trial without other suspected tasks, because workers have crashed while running
+    /// them.
     pub tasks_on_trial: u64,
     /// Number of runs on workers by phase.
     pub runs: BTreeMap<&'static str, u64>,
--- a/lilacpass-lead/src/options.rs
+++ b/lilacpass-lead/src/options.rs
@@ -5,18 +5,18 @@
 /// Options of the leader. All times are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Duration to which each call to a worker extends the leases there. It must be longer than a take-over, which takes
-    /// about 2 s, but short, because the work on a dead worker can only restart once its leases have expired.
+    /// Duration to which each call to a worker extends the leases there. It must be longer than a take-over, which
+    /// takes about 2 s, but short, because the work on a dead worker can only restart once its leases have expired.
     pub lease_ms: u64,
     /// Duration of the leases on a draining worker. Once such a worker is unresponsive and unregistered, it has either
     /// left or is cut off and keeps working. Its tasks can start elsewhere only after its leases have expired, so these
     /// are short, but long enough for a take-over.
     pub draining_lease_ms: u64,
-    /// Time for which a leader keeps extending leases after the store last confirmed that it leads. The store may be down
-    /// for this long before accepted work is stopped.
+    /// Time for which a leader keeps extending leases after the store last confirmed that it leads. The store may be
+    /// down for this long before accepted work is stopped.
     pub unconfirmed_lease_ms: u64,
-    /// Maximum time for which a worker may hold a poll until a run ends there. Half of the lease time that remains after
-    /// the longest wait must be enough for the next poll.
+    /// Maximum time for which a worker may hold a poll until a run ends there. Half of the lease time that remains
+    /// after the longest wait must be enough for the next poll.
     pub poll_wait_ms: u64,
     /// Replaces `poll_wait_ms` while responses get lost. A lost response delays the news of a task's end by this time
     /// plus `poll_answer_lossy_ms`.
@@ -190,8 +190,8 @@
 /// The monotonic clock of a worker may be slow by this share, in percent, so its leases last longer by the leader's
 /// clock.
 const WORKER_CLOCK_SLOW_PERCENT: u64 = 2;
-/// Added to each upper bound of a lease, in ms, for the rounding of clocks to whole milliseconds and for the time between
-/// reading the clock and sending.
+/// Added to each upper bound of a lease, in ms, for the rounding of clocks to whole milliseconds and for the time
+/// between reading the clock and sending.
 const LEASE_MARGIN_MS: u64 = 100;
 
 /// Returns the maximum time, by the leader's clock, until a lease of `lease_ms` by a worker's clock has expired, if the
--- a/lilacpass-lead/src/pending_changes.rs
+++ b/lilacpass-lead/src/pending_changes.rs
@@ -1,9 +1,9 @@
 //! Tracks what has changed since the previous scheduling round.
 //!
-//! Load pattern: a full cell with hundreds of waiting steps, in which a task ends every millisecond. Reconsidering every
-//! step and every worker after each end took a sixth of the leader's CPU with 350 workers. A step that could not be
-//! placed before can only become placeable if the step itself has changed, or if a worker that it may use has more free
-//! capacity.
+//! Load pattern: a full cell with hundreds of waiting steps, in which a task ends every millisecond. Reconsidering
+//! every step and every worker after each end took a sixth of the leader's CPU with 350 workers. A step that could not
+//! be placed before can only become placeable if the step itself has changed, or if a worker that it may use has more
+//! free capacity.
 
 use std::{collections::BTreeSet, mem};
 
--- a/lilacpass-lead/src/place.rs
+++ b/lilacpass-lead/src/place.rs
@@ -39,11 +39,11 @@
     pub near: bool,
     /// Whether the worker is in the home data centre of the job.
     pub at_home: bool,
-    /// Number of accelerators in use. Small tasks go to workers that already use some, so that tasks that need most of a
-    /// worker's accelerators still find unused workers.
+    /// Number of accelerators in use. Small tasks go to workers that already use some, so that tasks that need most of
+    /// a worker's accelerators still find unused workers.
     pub used_accelerators: u64,
-    /// Free share of the CPU in thousandths. Preferring a greater share spreads the load, and with it the cost of losing
-    /// a worker.
+    /// Free share of the CPU in thousandths. Preferring a greater share spreads the load, and with it the cost of
+    /// losing a worker.
     pub free_share: u64,
 }
 
@@ -66,9 +66,9 @@
 
 /// Returns the data centre in which most tasks of a step fit on the given workers; `None` if no task fits anywhere.
 ///
-/// The tasks of a job are kept in one data centre, because a job completes only with its last task. If one of three data
-/// centres is cut off, a third of the running jobs are delayed. If tasks were spread over all workers, nearly every job
-/// with ten tasks would be delayed.
+/// The tasks of a job are kept in one data centre, because a job completes only with its last task. If one of three
+/// data centres is cut off, a third of the running jobs are delayed. If tasks were spread over all workers, nearly
+/// every job with ten tasks would be delayed.
 pub fn choose_home<'a>(
     workers: impl Iterator<Item = &'a Worker>,
     step: &v1::WorkStep,
--- a/lilacpass-lead/src/preempt.rs
+++ b/lilacpass-lead/src/preempt.rs
@@ -1,8 +1,8 @@
 //! Preemption: stops less urgent work to free capacity for urgent work.
 //!
-//! Load pattern: a pool that is nearly full of small tasks. A gang that needs most of a worker would wait until all tasks
-//! there happen to have ended, while small tasks of less urgent queues start there again and again. A task that saves
-//! checkpoints loses only half a second when it is stopped and resumed elsewhere.
+//! Load pattern: a pool that is nearly full of small tasks. A gang that needs most of a worker would wait until all
+//! tasks there happen to have ended, while small tasks of less urgent queues start there again and again. A task that
+//! saves checkpoints loses only half a second when it is stopped and resumed elsewhere.
 
 use lilacpass_core::Resources;
 use lilacpass_jobs::{StepName, WorkerName};
@@ -40,8 +40,8 @@
         entry.is_some_and(|entry| entry.job.queue.priority < self.least_urgent_priority)
     }
 
-    /// Returns the capacity of a worker that would be free for a step with this rank if all less urgent work that may be
-    /// preempted were stopped.
+    /// Returns the capacity of a worker that would be free for a step with this rank if all less urgent work that may
+    /// be preempted were stopped.
     pub(crate) fn capacity_with_preemption(&self, rank: &Rank, worker: &Worker) -> Resources {
         let victims = self.victims(worker, rank.priority);
         let freed = victims.iter().fold(Resources::ZERO, |sum, (_, need)| sum.plus(need));
--- a/lilacpass-lead/src/pressure.rs
+++ b/lilacpass-lead/src/pressure.rs
@@ -4,9 +4,9 @@
 //! hundreds of steps and delays everything that arrives meanwhile: polls of workers, by which leases are extended, ends
 //! of runs, and responses to clients. Accepted tasks do not start although workers are free.
 //!
-//! The leader detects overload from its own behaviour: how late its ticks are, how long a scan of all waiting steps takes
-//! (`scan.rs`), and how many changed steps it has not examined yet. The last two do not count steps that merely wait for
-//! capacity: if there is none, examining a step again changes nothing.
+//! The leader detects overload from its own behaviour: how late its ticks are, how long a scan of all waiting steps
+//! takes (`scan.rs`), and how many changed steps it has not examined yet. The last two do not count steps that merely
+//! wait for capacity: if there is none, examining a step again changes nothing.
 
 use crate::{event::Now, requests};
 
@@ -23,8 +23,8 @@
 const MAX_COUNTED_DELAY_MS: u64 = 60;
 /// Initial number of steps that a round may examine. Cells that are merely full have fewer waiting steps.
 const INITIAL_STEPS_PER_ROUND: u64 = 128;
-/// Minimum and maximum number of steps that a round may examine. The minimum leaves at least one step for each part of a
-/// round (see `rounds.rs`).
+/// Minimum and maximum number of steps that a round may examine. The minimum leaves at least one step for each part of
+/// a round (see `rounds.rs`).
 const STEPS_PER_ROUND_BOUNDS: (u64, u64) = (8, 4_096);
 /// New jobs are refused while more changed steps are unexamined than this many rounds may examine...
 const MAX_BACKLOG_ROUNDS: u64 = 2;
@@ -134,8 +134,8 @@
         self.steps_examined = steps_examined;
     }
 
-    /// Halves the limit of steps per round while ticks are late. Doubles it if ticks are on time and a round has reached
-    /// the limit.
+    /// Halves the limit of steps per round while ticks are late. Doubles it if ticks are on time and a round has
+    /// reached the limit.
     fn adapt_steps_per_round(&mut self) {
         let (min, max) = STEPS_PER_ROUND_BOUNDS;
         let delay_ms = self.mean_delay_ms();
--- a/lilacpass-lead/src/rank.rs
+++ b/lilacpass-lead/src/rank.rs
@@ -20,8 +20,8 @@
     }
 }
 
-/// Computes the rank of a step. Within a priority, the job that becomes late first comes first, so that a short job does
-/// not wait behind a long one with time to spare.
+/// Computes the rank of a step. Within a priority, the job that becomes late first comes first, so that a short job
+/// does not wait behind a long one with time to spare.
 pub fn of_step(job: &Job, step: StepName) -> Rank {
     let start_ms = job.accepted_ms.max(job.due_ms(step.occurrence));
     let stretched_ms = job.queue.stretch.max(1.0) * critical_path_ms(job) as f64;
--- a/lilacpass-lead/src/requests.rs
+++ b/lilacpass-lead/src/requests.rs
@@ -15,7 +15,7 @@
 const RETRY_BOUNDS_MS: (u64, u64) = (1_000, 3_000);
 
 /// Returns the time in ms after which a client should retry when an outage has lasted for `outage_ms`: the same time
-/// again, within [`RETRY_BOUNDS_MS`]. An outage that has lasted long will probably last longer, and clients retry only a
+/// again, within `RETRY_BOUNDS_MS`. An outage that has lasted long will probably last longer, and clients retry only a
 /// few times. The upper bound prevents them from waiting long after the outage has ended.
 pub fn retry_after_ms(outage_ms: u64) -> u32 {
     let (min_ms, max_ms) = RETRY_BOUNDS_MS;
@@ -96,8 +96,8 @@
 
     /// Returns the time in ms after which a client should retry if the leader is too far behind to accept new jobs.
     ///
-    /// A leader that may have been replaced refuses no job for this reason: its successor may have accepted the job from
-    /// an earlier attempt, and a client that is refused concludes that the job will never run.
+    /// A leader that may have been replaced refuses no job for this reason: its successor may have accepted the job
+    /// from an earlier attempt, and a client that is refused concludes that the job will never run.
     fn pressure_retry_ms(&mut self, now: Now) -> Option<u32> {
         if !self.is_leadership_certain(now) {
             return None;
@@ -174,8 +174,8 @@
         self.reply(request_id, Response::State(state));
     }
 
-    /// Responds that a job is unknown, but only if this instance certainly leads. A former leader does not know the jobs
-    /// of its successor, and a client that receives this response concludes that the job is lost.
+    /// Responds that a job is unknown, but only if this instance certainly leads. A former leader does not know the
+    /// jobs of its successor, and a client that receives this response concludes that the job is lost.
     fn respond_unknown_job(&mut self, request_id: RequestId, now: Now) {
         if self.is_leadership_certain(now) {
             return self.reply(request_id, Response::UnknownJob);
--- a/lilacpass-lead/src/reservations.rs
+++ b/lilacpass-lead/src/reservations.rs
@@ -34,7 +34,8 @@
 }
 
 impl Reservations {
-    /// Reserves capacity for a step until `until_ms` on the monotonic clock. Replaces an earlier reservation of the step.
+    /// Reserves capacity for a step until `until_ms` on the monotonic clock. Replaces an earlier reservation of the
+    /// step.
     pub fn set(&mut self, rank: Rank, shares: Vec<Share>, until_ms: u64) {
         self.reserve(rank, rank, shares, until_ms);
     }
@@ -57,8 +58,8 @@
         steps
     }
 
-    /// Reserves capacity on workers of a service that is not free yet. It is reserved against all steps that are not more
-    /// urgent, because otherwise earlier steps of the same priority would take it again and again.
+    /// Reserves capacity on workers of a service that is not free yet. It is reserved against all steps that are not
+    /// more urgent, because otherwise earlier steps of the same priority would take it again and again.
     pub fn set_advance(&mut self, rank: Rank, shares: Vec<Share>, until_ms: u64, service: &str) {
         self.reserve(rank, rank.first_of_priority(), shares, until_ms);
         if let Some(reservation) = self.by_step.get_mut(&rank.step) {
--- a/lilacpass-lead/src/schedule.rs
+++ b/lilacpass-lead/src/schedule.rs
@@ -23,7 +23,7 @@
 
 /// Maximum number of steps per round for which preemption is attempted, in scheduling order. Each attempt scans the
 /// runs of all workers that the step may use, and hundreds of steps wait during an overload.
-const MAX_PREEMPTION_ATTEMPTS: u32 = 16;
+const MAX_PREEMPTION_SEARCHES: u32 = 16;
 
 impl Leader {
     /// Runs one scheduling round: places waiting tasks and requests advice for steps that need it.
@@ -131,7 +131,7 @@
         if missing > 0 && subset.is_none() {
             let wanted = if plan.gang { wanted as u64 } else { missing };
             let may_preempt = !plan.lasting && self.options.uses(Mechanism::Preemption);
-            if may_preempt && self.preemption_searches < MAX_PREEMPTION_ATTEMPTS {
+            if may_preempt && self.preemption_searches < MAX_PREEMPTION_SEARCHES {
                 self.preemption_searches += 1;
                 self.preempt_for(name, &plan, wanted, now);
             }
@@ -260,7 +260,7 @@
         }
     }
 
-    /// Returns whether a worker accepts starts of a step now, apart from its free capacity.
+    /// Returns whether a worker would accept a start of the step now, given enough free capacity.
     pub(crate) fn could_start(
         &self,
         worker: &Worker,
--- a/lilacpass-lead/src/waiting.rs
+++ b/lilacpass-lead/src/waiting.rs
@@ -37,8 +37,8 @@
     Plain,
     /// The step can use it if advice allows the step to run there.
     Advised,
-    /// The step needs several workers, or a choice among all of them, so freed capacity counts together with that of the
-    /// other workers.
+    /// The step needs several workers, or a choice among all of them, so freed capacity counts together with that of
+    /// the other workers.
     Combined,
 }
 
--- a/lilacpass-lead/tests/lanes.rs
+++ b/lilacpass-lead/tests/lanes.rs
@@ -15,8 +15,8 @@
     std::iter::from_fn(|| lanes.acquire(queue, expected_ms)).collect()
 }
 
-/// Failure: an accepted job did not start for seven seconds although workers were free. Sixty steps of another queue that
-/// found no free capacity requested advice again and again, half a second each, and held all lanes for slow calls.
+/// Failure: an accepted job did not start for seven seconds although workers were free. Sixty steps of another queue
+/// that found no free capacity requested advice again and again, half a second each, and held all lanes for slow calls.
 #[test]
 fn one_queue_never_holds_all_lanes_for_slow_calls() {
     let mut lanes = nine_lanes();
--- a/lilacpass-lead/tests/overload.rs
+++ b/lilacpass-lead/tests/overload.rs
@@ -9,8 +9,8 @@
 use lilacpass_lead::event::{Request, RequestId, Response};
 use world::{World, cost::Costs, plan, queue, step};
 
-/// With these costs a job of these tests takes the leader about 10 ms: one step examined, two starts and two ends. Polls
-/// of 60 idle workers take a tenth of its time.
+/// With these costs a job of these tests takes the leader about 10 ms: one step examined, two starts and two ends.
+/// Polls of 60 idle workers take a tenth of its time.
 const COSTS: Costs = Costs { event_us: 200, poll_us: 1_000, step_us: 4_000, request_us: 50 };
 const WORKERS: usize = 60;
 /// Number of jobs per second that the leader can schedule in addition to its polls.
@@ -69,10 +69,10 @@
     sent
 }
 
-/// Failure: ends of runs were not noticed, workers stopped accepted work, and after the overload half of the jobs had not
-/// completed. The leader had so many steps to examine that polls waited behind them for longer than a lease. It accepted
-/// every submission meanwhile, so the next round took even longer. A leader that gets more work than it can schedule
-/// should poll its workers in time, complete the accepted jobs in time, and refuse the rest at once.
+/// Failure: ends of runs were not noticed, workers stopped accepted work, and after the overload half of the jobs had
+/// not completed. The leader had so many steps to examine that polls waited behind them for longer than a lease. It
+/// accepted every submission meanwhile, so the next round took even longer. A leader that gets more work than it can
+/// schedule should poll its workers in time, complete the accepted jobs in time, and refuse the rest at once.
 fn test_overload(times: u64) {
     let mut world = cell();
     let sent = submit_traffic(&mut world, SCHEDULABLE_JOBS_PER_SECOND * times);
@@ -190,8 +190,8 @@
     world
 }
 
-/// Failure: a small task of low urgency waited forever although there was capacity for it. Whenever a worker became free
-/// the leader examined all more urgent steps first and did not get to it.
+/// Failure: a small task of low urgency waited forever although there was capacity for it. Whenever a worker became
+/// free the leader examined all more urgent steps first and did not get to it.
 #[test]
 fn each_step_is_examined_while_others_are_examined_all_the_time() {
     const MAX_START_MS: u64 = 2_000;
--- a/lilacpass-lead/tests/pending_changes.rs
+++ b/lilacpass-lead/tests/pending_changes.rs
@@ -28,8 +28,8 @@
     assert!(!empty.all && empty.freed.is_empty() && empty.changed.is_empty());
 }
 
-/// Failure: a job waited forever although the quarantine of a suitable worker had ended, because no event made the leader
-/// examine it.
+/// Failure: a job waited forever although the quarantine of a suitable worker had ended, because no event made the
+/// leader examine it.
 #[test]
 fn full_rounds_notice_changes_that_come_with_time_alone() {
     let mut changes = PendingChanges::default();
--- a/lilacpass-lead/tests/placement.rs
+++ b/lilacpass-lead/tests/placement.rs
@@ -145,8 +145,8 @@
     }
 }
 
-/// Failure: a step that may run on half of the workers requested advice only about workers with free capacity, one after
-/// the other, for half a second each. Which workers it may use never changes, so one call should name them all.
+/// Failure: a step that may run on half of the workers requested advice only about workers with free capacity, one
+/// after the other, for half a second each. Which workers it may use never changes, so one call should name them all.
 #[test]
 fn a_step_learns_about_all_workers_in_one_call() {
     let mut world = World::new(3, 9, large());
--- a/lilacpass-lead/tests/waiting_jobs.rs
+++ b/lilacpass-lead/tests/waiting_jobs.rs
@@ -1,5 +1,5 @@
-//! Tests which jobs are shown as queued and which as running. A job is running once a worker has confirmed the start of a
-//! task, not when the start was ordered.
+//! Tests which jobs are shown as queued and which as running. A job is running once a worker has confirmed the start of
+//! a task, not when the start was ordered.
 
 mod world;
 
@@ -38,8 +38,8 @@
 }
 
 /// Failure: four jobs had waited for five seconds, but the number of pending jobs was 0. Their leader stored the starts
-/// and was cut off before any order arrived. Its successor read the starts, could not reach the workers yet, and treated
-/// each job as running.
+/// and was cut off before any order arrived. Its successor read the starts, could not reach the workers yet, and
+/// treated each job as running.
 #[test]
 fn a_job_whose_orders_never_arrived_is_queued_for_a_successor_too() {
     let mut world = four_workers();
@@ -93,8 +93,8 @@
     assert_eq!(pending(&mut world), Response::Pending(0));
 }
 
-/// Failure: a job that had been running for most of a second was shown as queued. The response to its start was ignored,
-/// and the poll that would list it was waiting for an end.
+/// Failure: a job that had been running for most of a second was shown as queued. The response to its start was
+/// ignored, and the poll that would list it was waiting for an end.
 #[test]
 fn a_job_is_running_once_its_worker_has_confirmed_the_start() {
     let mut world = four_workers();
@@ -155,8 +155,8 @@
     assert_eq!(state(&mut world, 1), Response::State(JobState::Running));
 }
 
-/// Calls to the store are costly and limited, so a confirmed start is stored with the next change and needs no append of
-/// its own.
+/// Calls to the store are costly and limited, so a confirmed start is stored with the next change and needs no append
+/// of its own.
 #[test]
 fn learning_of_a_started_run_costs_no_append() {
     let mut world = four_workers();
@@ -175,8 +175,8 @@
     assert!(job.has_started, "stored beside the next job");
 }
 
-/// Failure: operators who looked for stuck jobs could not tell which open jobs had not started, because those were listed
-/// with runs on workers that had never received them.
+/// Failure: operators who looked for stuck jobs could not tell which open jobs had not started, because those were
+/// listed with runs on workers that had never received them.
 #[test]
 fn operators_see_which_jobs_no_worker_has_started() {
     let mut world = four_workers();
