--- a/lilacpass-lead/benches/cell/mod.rs
+++ b/lilacpass-lead/benches/cell/mod.rs
@@ -303,18 +303,18 @@
 }
 
 /// Creates a queue of a service: without advice, with quick advice, or with slow advice.
-fn queue(number: usize, kind: usize) -> v1::QueuePolicy {
-    let (base_ms, per_worker_ms) = [(0.0, 0.0), (20.0, 0.2), (490.0, 7.0)][kind];
+fn queue(number: usize, sort: usize) -> v1::QueuePolicy {
+    let (base_ms, per_worker_ms) = [(0.0, 0.0), (20.0, 0.2), (490.0, 7.0)][sort];
     let advice = v1::AdvicePolicy { base_ms, per_worker_ms, valid_ms: TICKET_MS as u32 };
     let service = service(number);
     v1::QueuePolicy {
-        name: format!("{service}-{kind}"),
+        name: format!("{service}-{sort}"),
         service,
         priority: 2,
         attempts: 3,
         stretch: 1.5,
         objective_ms: 250,
-        advice: (kind > 0).then_some(advice),
+        advice: (sort > 0).then_some(advice),
     }
 }
 
