--- a/lilacpass-lead/src/crash_suspicion.rs
+++ b/lilacpass-lead/src/crash_suspicion.rs
@@ -36,10 +36,10 @@
         let loss = self.circumstances(worker, now);
         let suspects = self.suspects(worker);
         let is_known = suspects.iter().any(|suspect| self.was_suspected(suspect));
-        let suspicion = |key: &RunKey, given: &AssignedRun| {
+        let suspicion = |key: &RunKey, assigned: &AssignedRun| {
             let is_suspect =
-                worker.is_suspect(given) && suspects.contains(&self.starting_unit(key.0));
-            let has_started = given.started_ms.is_some();
+                worker.is_suspect(assigned) && suspects.contains(&self.starting_unit(key.0));
+            let has_started = assigned.started_ms.is_some();
             let is_only = is_suspect && suspects.len() == 1 && has_started;
             match loss {
                 Circumstances::Explained if is_suspect && is_known => Suspicion::Present,
@@ -52,13 +52,13 @@
                 Circumstances::Alone | Circumstances::Unseen => Suspicion::Present,
             }
         };
-        let ordered = worker.runs.iter().filter(|(_, given)| given.phase != Phase::Recording);
-        ordered.map(|(key, given)| (*key, suspicion(key, given))).collect()
+        let ordered = worker.runs.iter().filter(|(_, assigned)| assigned.phase != Phase::Recording);
+        ordered.map(|(key, assigned)| (*key, suspicion(key, assigned))).collect()
     }
 
     /// What may have crashed a worker: of all that it did not outlive, that which was suspected before.
     fn suspects(&self, worker: &Worker) -> BTreeSet<StepOrTask> {
-        let suspects = worker.runs.iter().filter(|(_, given)| worker.is_suspect(given));
+        let suspects = worker.runs.iter().filter(|(_, assigned)| worker.is_suspect(assigned));
         let suspects: BTreeSet<StepOrTask> =
             suspects.map(|((task, _), _)| self.starting_unit(*task)).collect();
         let known: BTreeSet<StepOrTask> =
--- a/lilacpass-lead/src/leader.rs
+++ b/lilacpass-lead/src/leader.rs
@@ -1,4 +1,4 @@
-//! The state of the leader and the way of an event through it.
+//! The state of the leader, and the dispatch of events to its parts.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -29,34 +29,34 @@
     worker::{Phase, PollState, Worker},
 };
 
-/// A job and what is stored and shown of it.
+/// A job with what the leader keeps about it beside its stored records.
 #[derive(Debug)]
 pub struct JobEntry {
-    /// The job.
+    /// The job and the state of its tasks.
     pub job: Job,
-    /// Its plan is stored: its caller may be told.
+    /// Whether the plan of the job is stored, so that its client may be told that it is accepted.
     pub is_plan_stored: bool,
-    /// The outcome that callers are shown: one that is stored.
+    /// The outcome that clients see: the last one that is stored.
     pub visible_outcome: Outcome,
-    /// Workers on which its tasks failed or stood still since one of them was done, and when they last did, on the
-    /// steady clock.
+    /// Workers on which its tasks have failed or stalled since one of its tasks was done, with the time of the last
+    /// failure on the steady clock.
     pub failed_on: BTreeMap<WorkerName, u64>,
-    /// Tasks of which a copy is to run, because the run that they have may be lost.
+    /// Tasks that are to have a copy, because their only run may be lost.
     pub wanted_copies: BTreeSet<TaskName>,
-    /// How often each task was stopped for more urgent work.
+    /// How often each task has been preempted.
     pub preemptions: BTreeMap<TaskName, u32>,
-    /// Addresses of workers that crashed under its tasks.
+    /// Addresses of workers that crashed while they ran its tasks.
     pub crashed_addresses: BTreeSet<String>,
-    /// The data centre in which its tasks are to run, once one was chosen.
+    /// The data centre in which its tasks are to run, once one has been chosen.
     pub home_data_centre: Option<String>,
 }
 
 impl JobEntry {
-    /// An entry for a job; `stored` tells whether its plan is.
-    pub fn new(job: Job, stored: bool) -> Self {
+    /// Creates the entry of a job.
+    pub fn new(job: Job, is_plan_stored: bool) -> Self {
         Self {
             visible_outcome: job.outcome,
-            is_plan_stored: stored,
+            is_plan_stored,
             job,
             failed_on: BTreeMap::new(),
             wanted_copies: BTreeSet::new(),
@@ -66,39 +66,40 @@
         }
     }
 
-    /// The data centre in which tasks of a step are to run; none where they are spread or it is open.
+    /// The data centre in which the tasks of a step are to run; `None` if they may run in any.
     pub fn home_for(&self, step: &v1::WorkStep) -> Option<&str> {
         self.home_data_centre.as_deref().filter(|_| !step.lasting)
     }
 
-    /// Whether tasks of the job keep off a worker for a moment, since one has just failed there.
+    /// Whether the tasks of the job avoid a worker for the moment, because one of them has just failed there.
     ///
-    /// Without this a task whose few allowed workers spoil their work goes through all its attempts there within half a
-    /// second, and its job fails, while workers that nobody has asked about stand idle.
+    /// Without this, a task that is allowed on a few faulty workers only would use up all its attempts there within
+    /// half a second and fail its job, while workers about which no advice has been requested stand idle.
     pub fn avoids(&self, worker: &WorkerName, now_ms: u64) -> bool {
-        /// Longer than a call for advice about other workers takes.
-        const KEEP_OFF_MS: u64 = 700;
-        self.failed_on.get(worker).is_some_and(|failed_ms| now_ms < failed_ms + KEEP_OFF_MS)
+        /// Longer than a request for advice about other workers takes.
+        const AVOID_MS: u64 = 700;
+        self.failed_on.get(worker).is_some_and(|failed_ms| now_ms < failed_ms + AVOID_MS)
     }
 
-    /// Whether a task may be given a run now: it has none, or is to have a copy.
+    /// Whether a task may be assigned another run now: it has none, or is to have a copy.
     pub fn needs_run(&self, name: TaskName) -> bool {
         self.job.task(name).is_some_and(|task| {
-            // Of a task that crashes its workers a copy takes one more.
+            // A copy of a task that crashes its workers would take down one more.
             let may_have_copy = || self.wanted_copies.contains(&name) && task.crashes.known == 0;
             task.is_waiting() || !task.done && task.runs.len() == 1 && may_have_copy()
         })
     }
 }
 
-/// What deciding has taken since the leader began. What takes its time is looking at steps.
+/// Counts the work spent on scheduling since the leader took over. Nearly all scheduling time goes into examining
+/// steps.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SchedulingWork {
-    /// Steps that were looked at for room, or for workers to ask about.
+    /// Steps for which workers with free capacity, or workers to request advice about, were searched for.
     pub steps_examined: u64,
 }
 
-/// The leader of a cell.
+/// The leader of a cell: a state machine that takes events and returns effects.
 #[derive(Debug)]
 pub struct Leader {
     pub(crate) options: Options,
@@ -110,10 +111,10 @@
     pub(crate) lanes: Lanes,
     pub(crate) waiting: Waiting,
     pub(crate) advice_queue: Askers,
-    /// The steps that are allowed on each worker, as far as advice has told.
+    /// The steps that are allowed to run on each worker, as far as advice is known.
     pub(crate) allowed_steps: HashMap<WorkerName, BTreeSet<StepName>>,
     pub(crate) reservations: Reservations,
-    /// Steps for which room was looked for by preemption in this round.
+    /// Steps for which runs to preempt were searched for in this round.
     pub(crate) preemption_searches: u32,
     pub(crate) work: SchedulingWork,
     pub(crate) scan: Turn,
@@ -121,52 +122,54 @@
     pub(crate) pending_changes: News,
     pub(crate) response_loss: ResponseLossMeter,
     pub(crate) outages: RecentOutages,
-    /// The worker that was last to register anew at each address.
+    /// The worker that registered most recently at each address.
     pub(crate) latest_by_address: HashMap<String, WorkerName>,
-    /// Workers that were taken for gone unseen, with the tasks under which they were counted as crashed.
+    /// Workers that were presumed gone without a response, with the tasks for which they were counted as crashed.
     pub(crate) presumed_gone: HashMap<WorkerName, Vec<TaskName>>,
-    /// Open jobs under which workers have crashed.
+    /// Open jobs whose tasks ran on workers that crashed.
     pub(crate) crash_affected_jobs: BTreeSet<JobKey>,
     pub(crate) counters: Counters,
-    /// Workers at which no look is under way: hardly any. Going through all workers at each event, and
-    /// putting all in order for each call for advice, took 17 of 60 % of a core at 3,000 of them.
+    /// Workers without a regular poll in flight: few at any time. With 3,000 workers, going through all of them on
+    /// each event and sorting them for each request for advice took 17 % of a core, out of 60 % for the whole leader.
     pub(crate) unpolled_workers: BTreeSet<WorkerName>,
-    /// The lowest priority (its greatest number) of an open job, as of the last review.
+    /// The lowest urgency (the greatest priority number) of an open job, as of the last review.
     pub(crate) least_urgent_priority: u32,
-    /// Registered workers of each service, as of the last review.
+    /// Number of registered workers of each service, as of the last review.
     pub(crate) pool_sizes: HashMap<String, usize>,
-    /// Occurrences whose time has not come, by time of day.
+    /// Occurrences that are not due yet, with the time of day in ms at which each is due.
     pub(crate) upcoming_occurrences: BTreeSet<(u64, JobKey)>,
-    /// Share of workers that are allowed, learned per queue.
+    /// Share of the workers that advice allows, learned for each queue.
     pub(crate) allowed_shares: HashMap<String, f64>,
     pub(crate) effects: Vec<Effect>,
-    /// Start of the last call by which the store confirmed that we lead.
+    /// When the last call was sent by which the store confirmed the leadership, on the steady clock.
     pub(crate) leadership_confirmed_ms: u64,
     pub(crate) append_sent_ms: u64,
-    /// Until when a former leader's leases may last at a worker that we can't reach.
+    /// The latest time at which leases of a former leader expire on a worker that does not respond, on the steady
+    /// clock.
     inherited_leases_expire_by_ms: u64,
     next_cleanup_ms: u64,
     next_review_ms: u64,
     last_tick_ms: u64,
-    /// When it last went on after it had stood still, on the steady clock.
+    /// When the leader last resumed after a stall, on the steady clock.
     pub(crate) last_stall_ms: Option<u64>,
 }
 
-/// Time between two ticks that shows a leader to be late itself. Ticks come each 0.05 s.
+/// Time between two ticks after which the leader counts as late itself. Ticks come every 50 ms.
 const LATE_TICK_MS: u64 = 150;
-/// The same that shows it to have stood still, so that it can't tell when anything happened meanwhile.
-const STOOD_STILL_MS: u64 = 1_000;
-/// How often all runs are looked through for lost ones. It costs time for each run; progress is
-/// reported hardly more often.
-const REVIEW_INTERVAL_MS: u64 = 200;
-/// How often ended jobs are looked through for those that can be forgotten.
+/// Time between two ticks after which the leader counts as stalled, so that it can't tell when events happened in
+/// the meantime.
+const STALL_MS: u64 = 1_000;
+/// How often all runs are checked for lost and stalled ones. The check costs time for each run, and workers hardly
+/// report progress more often.
+const RUN_REVIEW_INTERVAL_MS: u64 = 200;
+/// How often ended jobs are checked for those whose retention time is over.
 const CLEANUP_INTERVAL_MS: u64 = 10_000;
 
 impl Leader {
-    /// A leader that has just taken over, with the jobs that are stored.
+    /// Creates a leader that has just taken over, with all stored jobs.
     pub fn new(options: Options, jobs: Vec<Job>, now: Now) -> Self {
-        let last_lease_ms = options::longest_lease_ms(options.lease_ms, options.outlive_ms);
-        let inherited_until_ms = now.steady_ms + options.outlive_ms + last_lease_ms;
+        let longest_lease_ms = options::longest_lease_ms(options.lease_ms, options.outlive_ms);
+        let inherited_leases_expire_by_ms = now.steady_ms + options.outlive_ms + longest_lease_ms;
         let mut leader = Self {
             options,
             jobs: HashMap::new(),
@@ -198,7 +201,7 @@
             effects: Vec::new(),
             leadership_confirmed_ms: now.steady_ms,
             append_sent_ms: now.steady_ms,
-            inherited_leases_expire_by_ms: inherited_until_ms,
+            inherited_leases_expire_by_ms,
             next_cleanup_ms: now.steady_ms + CLEANUP_INTERVAL_MS,
             next_review_ms: now.steady_ms,
             last_tick_ms: now.steady_ms,
@@ -210,17 +213,17 @@
         leader
     }
 
-    /// Takes a stored job over. Runs that the former leader gave out may be anywhere between their
-    /// order and their end, until their worker tells.
+    /// Takes over a stored job. A run that the former leader assigned may be in any state between its start order and
+    /// its end until its worker responds.
     fn inherit(&mut self, job: Job, now: Now) {
         let key = job.key;
         for (task, run) in job.live_runs() {
             let need = place::need(job.step_plan(task.step.step));
-            let until_ms = self.inherited_leases_expire_by_ms;
+            let leases_expire_by_ms = self.inherited_leases_expire_by_ms;
             let worker = self
                 .workers
                 .entry(run.worker.clone())
-                .or_insert_with(|| Worker::from_run_record(&run, until_ms));
+                .or_insert_with(|| Worker::from_run_record(&run, leases_expire_by_ms));
             self.unpolled_workers.insert(run.worker.clone());
             worker.assign((task, run.number), need, Phase::Uncertain { since_ms: now.steady_ms });
             if job.is_suspected(task) {
@@ -239,7 +242,7 @@
         }
     }
 
-    /// Takes in an event. Effects are collected until [`Leader::finish`].
+    /// Processes an event. Its effects are collected until [`Leader::finish`].
     pub fn handle(&mut self, event: Event, now: Now) {
         match event {
             Event::Asked { token, ask } => self.on_asked(token, ask, now),
@@ -263,15 +266,15 @@
             Event::Advised { lane, step, asked, advice } => {
                 self.on_advised(&lane, step, &asked, advice, now);
             }
-            Event::WorkerListed(entry) => self.on_listed(entry),
-            Event::WorkerUnlisted(name) => self.on_unlisted(&name),
+            Event::WorkerListed(entry) => self.on_worker_registered(entry),
+            Event::WorkerUnlisted(name) => self.on_worker_unregistered(&name),
             Event::WorkersRead => self.give_up_missing_workers(now),
             Event::Lanes(lanes) => self.lanes.set(lanes),
             Event::Tick => self.on_tick(now),
         }
     }
 
-    /// Decides what follows from all events so far, and returns what is to be done.
+    /// Makes the decisions that follow from all events so far, and returns the collected effects.
     pub fn finish(&mut self, now: Now) -> Vec<Effect> {
         self.send_due_polls(now);
         self.schedule(now);
@@ -279,60 +282,60 @@
         mem::take(&mut self.effects)
     }
 
-    /// The data centre of a worker that answered the last look; none for one that did not, or is not known.
+    /// The data centre of a worker that answered its last poll; `None` for any other.
     pub fn responsive_worker_data_centre(&self, name: &WorkerName) -> Option<&str> {
         let worker = self.workers.get(name).filter(|worker| worker.failed_polls == 0)?;
         Some(&worker.registration.data_centre)
     }
 
-    /// What has happened since this was last called.
+    /// Returns the counters, and resets them.
     pub fn take_counters(&mut self) -> Counters {
         mem::take(&mut self.counters)
     }
 
-    /// What deciding has taken so far.
+    /// The scheduling work done so far.
     pub fn work(&self) -> SchedulingWork {
         self.work
     }
 
-    /// Whether the store confirmed so lately that we lead that no other can have taken over.
+    /// Whether the store has confirmed the leadership so recently that no other instance can have taken over.
     pub fn is_leadership_certain(&self, now: Now) -> bool {
-        /// Below the shortest time in which another takes over from a leader that still runs.
-        const SURE_MS: u64 = 900;
-        now.steady_ms.saturating_sub(self.leadership_confirmed_ms) < SURE_MS
+        /// Less than the shortest time in which another instance can take over from a leader that still runs.
+        const MAX_CONFIRMATION_AGE_MS: u64 = 900;
+        now.steady_ms.saturating_sub(self.leadership_confirmed_ms) < MAX_CONFIRMATION_AGE_MS
     }
 
-    /// Whether leases may be extended: only so long after the last confirmation, because a
-    /// successor that can't reach a worker waits just this long before it starts its work again.
+    /// Whether leases may be extended: only for `outlive_ms` after the last confirmation of the leadership, because a
+    /// successor that can't reach a worker waits that long before it starts the worker's runs elsewhere.
     pub(crate) fn may_extend_leases(&self, now: Now) -> bool {
         now.steady_ms.saturating_sub(self.leadership_confirmed_ms) < self.options.outlive_ms
     }
 
-    /// How long the store has owed the answer to an append.
+    /// How long the store has not confirmed the pending append, in ms; 0 if none is pending.
     pub fn store_stuck_ms(&self, now: Now) -> u64 {
         self.outbox.stuck_ms(now.steady_ms)
     }
 
-    fn on_listed(&mut self, entry: Registration) {
-        self.retract_presumed_crashes(&entry.name);
-        self.track_address(&entry);
-        let until_ms = self.inherited_leases_expire_by_ms;
+    fn on_worker_registered(&mut self, registration: Registration) {
+        self.retract_presumed_crashes(&registration.name);
+        self.track_address(&registration);
+        let leases_expire_by_ms = self.inherited_leases_expire_by_ms;
         let worker = self
             .workers
-            .entry(entry.name.clone())
-            .or_insert_with(|| Worker::new(entry.clone(), until_ms));
+            .entry(registration.name.clone())
+            .or_insert_with(|| Worker::new(registration.clone(), leases_expire_by_ms));
         worker.registered = true;
-        worker.draining |= entry.draining;
-        self.pending_changes.free(&entry.name);
+        worker.draining |= registration.draining;
+        self.pending_changes.free(&registration.name);
         if worker.poll != PollState::InFlight {
-            self.unpolled_workers.insert(entry.name.clone());
+            self.unpolled_workers.insert(registration.name.clone());
         }
-        worker.max_capacity = worker.max_capacity.max(&entry.capacity);
-        worker.registration = entry;
+        worker.max_capacity = worker.max_capacity.max(&registration.capacity);
+        worker.registration = registration;
         self.capacity_index.note(worker);
     }
 
-    fn on_unlisted(&mut self, name: &WorkerName) {
+    fn on_worker_unregistered(&mut self, name: &WorkerName) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.registered = false;
             self.capacity_index.note(worker);
@@ -343,7 +346,7 @@
         if now.steady_ms > self.last_tick_ms + LATE_TICK_MS {
             self.response_loss.clear();
         }
-        if now.steady_ms > self.last_tick_ms + STOOD_STILL_MS {
+        if now.steady_ms > self.last_tick_ms + STALL_MS {
             self.last_stall_ms = Some(now.steady_ms);
         }
         self.last_tick_ms = now.steady_ms;
@@ -358,7 +361,7 @@
         self.expire_unresponsive_workers(now);
         self.retry_stops(now);
         if now.steady_ms >= self.next_review_ms {
-            self.next_review_ms = now.steady_ms + REVIEW_INTERVAL_MS;
+            self.next_review_ms = now.steady_ms + RUN_REVIEW_INTERVAL_MS;
             if self.options.uses(Mechanism::Replacement) {
                 self.replace_stuck_runs(now);
             }
@@ -371,26 +374,26 @@
         }
     }
 
-    /// Judges whether the leader keeps up.
+    /// Updates the pressure level, and logs a change.
     fn update_pressure(&mut self, now: Now) {
-        let turn_ms = self.scan.lasts_ms(now);
-        let Some(level) = self.pressure.tick(turn_ms, self.work.steps_examined, now) else {
+        let scan_ms = self.scan.lasts_ms(now);
+        let Some(level) = self.pressure.tick(scan_ms, self.work.steps_examined, now) else {
             return;
         };
         log::info!(
             leader = level.as_str(), behind_ms = self.pressure.behind_ms(),
             tries_a_round = self.pressure.tries_a_round(), waiting = self.waiting.len(),
             unseen = self.pending_changes.unseen();
-            "pressure changes"
+            "pressure level changed"
         );
     }
 
-    /// Whether the leader keeps up, and how far it is behind.
+    /// How overloaded the leader is.
     pub fn pressure(&self) -> &Pressure {
         &self.pressure
     }
 
-    /// Counts the workers of each service, and finds the least urgent work.
+    /// Counts the workers of each service, and finds the least urgent open job.
     fn review_pools(&mut self) {
         let open = self.jobs.values().filter(|entry| entry.job.outcome == Outcome::Open);
         self.least_urgent_priority = open.map(|entry| entry.job.queue.priority).max().unwrap_or(0);
@@ -405,7 +408,7 @@
         }
     }
 
-    /// What a run of a task takes; nothing where the task is not known.
+    /// Resources that a run of a task occupies; zero if the task is not known.
     pub(crate) fn need_of(&self, task: TaskName) -> Resources {
         let Some(entry) = self.jobs.get(&task.step.job) else { return Resources::ZERO };
         let step = entry.job.plan.steps.get(task.step.step as usize);
@@ -425,7 +428,7 @@
             .map(|entry| entry.job.key)
             .collect();
         for key in old {
-            // Advice that was answered after the end.
+            // Drops advice that arrived after the end of the job.
             self.release_steps(key);
             self.jobs.remove(&key);
             self.outbox.pending.deletions.insert(key);
--- a/lilacpass-lead/src/lost_workers.rs
+++ b/lilacpass-lead/src/lost_workers.rs
@@ -143,7 +143,7 @@
             rack: worker.rack().to_owned(),
             since_ms: now.steady_ms,
             has_no_suspect: worker.has_responded()
-                && !worker.runs.values().any(|given| worker.is_unproven(given)),
+                && !worker.runs.values().any(|assigned| worker.is_unproven(assigned)),
         });
     }
 
--- a/lilacpass-lead/src/orders.rs
+++ b/lilacpass-lead/src/orders.rs
@@ -18,7 +18,7 @@
     pub(crate) fn send_start(&mut self, name: &WorkerName, task: TaskName, run: u32, now: Now) {
         let key = (task, run);
         let recorded = self.workers.get(name).and_then(|worker| worker.runs.get(&key));
-        if recorded.map(|given| given.phase) != Some(Phase::Recording) {
+        if recorded.map(|assigned| assigned.phase) != Some(Phase::Recording) {
             return;
         }
         let Some(entry) = self.jobs.get(&task.step.job) else { return };
@@ -70,11 +70,11 @@
             self.record_job_begun(task.step.job);
         }
         let Some(worker) = self.workers.get_mut(name) else { return };
-        let Some(given) = worker.runs.get(&key).copied() else { return };
+        let Some(assigned) = worker.runs.get(&key).copied() else { return };
         match result {
             Ok(()) => {
                 worker.last_response_ms = now.steady_ms;
-                if given.phase == Phase::Ordered {
+                if assigned.phase == Phase::Ordered {
                     worker.set_phase(key, Phase::Running { since_ms: now.steady_ms });
                 }
                 self.review_trial(name);
@@ -88,7 +88,7 @@
             Err(CallError::Failed(Verdict::MayHaveRun | Verdict::Ran)) => {
                 worker.pause_starts(now.steady_ms, avoid_ms);
                 log::info!(task:% = task, run, worker:% = name; "start got no answer");
-                if given.phase == Phase::Ordered {
+                if assigned.phase == Phase::Ordered {
                     worker.set_phase(key, Phase::Uncertain { since_ms: now.steady_ms });
                 }
                 self.suspect_data_centre(name, now);
@@ -158,8 +158,8 @@
     /// Has a run stopped. A run that has not been ordered is dropped at once.
     pub(crate) fn stop_run(&mut self, name: &WorkerName, key: RunKey, now: Now) {
         let Some(worker) = self.workers.get_mut(name) else { return };
-        let Some(given) = worker.runs.get(&key).copied() else { return };
-        match given.phase {
+        let Some(assigned) = worker.runs.get(&key).copied() else { return };
+        match assigned.phase {
             Phase::Recording => self.end_never_started(name, key, now),
             Phase::Stopping { .. } => {}
             Phase::Ordered | Phase::Uncertain { .. } | Phase::Running { .. } => {
@@ -192,7 +192,7 @@
         match result {
             Ok(()) => {
                 let Some(worker) = self.workers.get_mut(name) else { return };
-                let phase = worker.runs.get(&key).map(|given| given.phase);
+                let phase = worker.runs.get(&key).map(|assigned| assigned.phase);
                 if let Some(Phase::Stopping { sent_ms, .. }) = phase {
                     let confirmed_ms = Some(now.steady_ms);
                     worker.set_phase(key, Phase::Stopping { sent_ms, confirmed_ms });
@@ -215,14 +215,14 @@
             let silent = worker.failed_polls > 0;
             let times = times.get(name).map(Vec::as_slice).unwrap_or_default();
             let slow = !silent && progress::is_slow_worker(times);
-            for (key, given) in &worker.runs {
-                if silent && self.may_have_copy(*key, given) {
+            for (key, assigned) in &worker.runs {
+                if silent && self.may_have_copy(*key, assigned) {
                     lost.push((name.clone(), *key, true, false));
                     continue;
                 }
-                let Some(plan) = self.replaceable(*key, given) else { continue };
+                let Some(plan) = self.replaceable(*key, assigned) else { continue };
                 let estimate_ms = u64::from(plan.estimate_ms);
-                let is_lost = given.progress.is_some_and(|seen| {
+                let is_lost = assigned.progress.is_some_and(|seen| {
                     !silent && seen.is_stalled(estimate_ms, now.steady_ms)
                         || slow && !seen.is_nearly_done()
                 });
@@ -237,15 +237,15 @@
     }
 
     /// Whether a copy may run beside a run that its worker may have.
-    fn may_have_copy(&self, key: RunKey, given: &AssignedRun) -> bool {
-        let given_out = matches!(given.phase, Phase::Running { .. } | Phase::Uncertain { .. });
+    fn may_have_copy(&self, key: RunKey, assigned: &AssignedRun) -> bool {
+        let given_out = matches!(assigned.phase, Phase::Running { .. } | Phase::Uncertain { .. });
         let entry = self.jobs.get(&key.0.step.job);
         given_out && entry.is_some_and(|entry| entry.job.step_plan(key.0.step.step).speculative)
     }
 
     /// The plan of a run that may be replaced: one whose work shows in its progress.
-    fn replaceable(&self, key: RunKey, given: &AssignedRun) -> Option<&v1::WorkStep> {
-        if !matches!(given.phase, Phase::Running { .. }) {
+    fn replaceable(&self, key: RunKey, assigned: &AssignedRun) -> Option<&v1::WorkStep> {
+        if !matches!(assigned.phase, Phase::Running { .. }) {
             return None;
         }
         let entry = self.jobs.get(&key.0.step.job)?;
@@ -257,11 +257,12 @@
     fn run_time_estimates(&self) -> Totals {
         let mut totals = Totals::new();
         for (name, worker) in &self.workers {
-            for (key, given) in &worker.runs {
-                if self.replaceable(*key, given).is_none() {
+            for (key, assigned) in &worker.runs {
+                if self.replaceable(*key, assigned).is_none() {
                     continue;
                 }
-                if let Some(total_ms) = given.progress.and_then(|seen| seen.estimated_total_ms()) {
+                if let Some(total_ms) = assigned.progress.and_then(|seen| seen.estimated_total_ms())
+                {
                     totals.entry(key.0.step).or_default().push((name.clone(), total_ms));
                 }
             }
@@ -299,12 +300,12 @@
         let mut due = Vec::new();
         let mut unsettled = Vec::new();
         for (name, worker) in &mut self.workers {
-            for (key, given) in &mut worker.runs {
-                let Phase::Stopping { sent_ms, confirmed_ms } = given.phase else { continue };
+            for (key, assigned) in &mut worker.runs {
+                let Phase::Stopping { sent_ms, confirmed_ms } = assigned.phase else { continue };
                 if now.steady_ms < sent_ms + retry_ms {
                     continue;
                 }
-                given.phase = Phase::Stopping { sent_ms: now.steady_ms, confirmed_ms };
+                assigned.phase = Phase::Stopping { sent_ms: now.steady_ms, confirmed_ms };
                 if confirmed_ms.is_some() {
                     unsettled.push(name.clone());
                 } else {
--- a/lilacpass-lead/src/polling.rs
+++ b/lilacpass-lead/src/polling.rs
@@ -201,15 +201,15 @@
                 entry.job.note_checkpoint(row.task, &row.checkpoint);
             }
             let Some(worker) = self.workers.get_mut(name) else { return };
-            let Some(given) = worker.runs.get_mut(&key) else {
+            let Some(assigned) = worker.runs.get_mut(&key) else {
                 self.stop_orphaned_run(name, key, now);
                 continue;
             };
-            given.update_progress(row.percent, now.steady_ms);
-            if matches!(given.phase, Phase::Ordered | Phase::Uncertain { .. }) {
-                given.set_phase(Phase::Running { since_ms: now.steady_ms });
+            assigned.update_progress(row.percent, now.steady_ms);
+            if matches!(assigned.phase, Phase::Ordered | Phase::Uncertain { .. }) {
+                assigned.set_phase(Phase::Running { since_ms: now.steady_ms });
             }
-            let started_ms = given.started_ms;
+            let started_ms = assigned.started_ms;
             self.clear_proven_task(key, started_ms, now);
         }
     }
@@ -240,7 +240,7 @@
             .runs
             .iter()
             .filter(|(key, _)| listed.binary_search(key).is_err())
-            .map(|(key, given)| (*key, given.phase))
+            .map(|(key, assigned)| (*key, assigned.phase))
             .collect();
         for (key, phase) in absent {
             match phase {
--- a/lilacpass-lead/src/trials.rs
+++ b/lilacpass-lead/src/trials.rs
@@ -28,8 +28,8 @@
         let is_lost_at_start = |run: &Run| {
             let worker = self.workers.get(&run.worker).filter(|worker| worker.failed_polls > 0);
             worker.is_some_and(|worker| {
-                let given = worker.runs.get(&(name, run.number));
-                given.is_some_and(|given| worker.is_suspect(given))
+                let assigned = worker.runs.get(&(name, run.number));
+                assigned.is_some_and(|assigned| worker.is_suspect(assigned))
             })
         };
         entry.job.is_suspected(name) || runs.iter().any(is_lost_at_start)
@@ -51,7 +51,7 @@
             .filter_map(|host| Some((host, self.workers.get(&host.name)?)))
             .map(|(host, worker)| {
                 let unclear =
-                    worker.runs.values().filter(|given| worker.is_unproven(given)).count();
+                    worker.runs.values().filter(|assigned| worker.is_unproven(assigned)).count();
                 let crashed = entry.crashed_addresses.contains(&worker.registration.address);
                 let struck =
                     worker.runs.keys().filter(|(task, _)| self.has_crashed_workers(*task)).count();
@@ -82,7 +82,7 @@
     pub(crate) fn review_trial(&mut self, name: &WorkerName) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let Some(key) = worker.trial else { return };
-        let is_clear = worker.runs.get(&key).is_none_or(|given| !worker.is_unproven(given));
+        let is_clear = worker.runs.get(&key).is_none_or(|assigned| !worker.is_unproven(assigned));
         if is_clear {
             worker.trial = None;
             self.pending_changes.free(name);
--- a/lilacpass-lead/src/worker.rs
+++ b/lilacpass-lead/src/worker.rs
@@ -1,4 +1,5 @@
-//! A worker as its commander sees it: what was given to it, what it told, and how long that holds.
+//! The leader's view of a worker: its registration, the runs assigned to it, how long its leases may last, and
+//! whether it accepts new runs.
 
 use std::collections::BTreeMap;
 
@@ -7,60 +8,60 @@
 
 use crate::{event::Registration, health, options, progress::Progress};
 
-/// A run on a worker.
+/// Identifies a run on a worker: the task and the number of the run.
 pub type RunKey = (TaskName, u32);
 
-/// What is known of a run that was given to a worker.
+/// What the leader knows about a run that it assigned to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It is being recorded; the order has not been sent.
+    /// The assignment is being stored; no start has been sent.
     Recording,
-    /// The order is under way.
+    /// The start has been sent, and no response has arrived yet.
     Ordered,
-    /// The order got no answer, or a former leader gave it: it may run, or start later.
+    /// The start got no response, or a former leader sent it: the run may be running, or may still start.
     Uncertain {
-        /// When this became so, on the steady clock.
+        /// When the run became uncertain, on the steady clock.
         since_ms: u64,
     },
-    /// It started.
+    /// The worker has confirmed that the run started.
     Running {
-        /// When this became known, on the steady clock.
+        /// When the leader learned of it, on the steady clock.
         since_ms: u64,
     },
-    /// It is to stop.
+    /// The leader has asked the worker to stop the run.
     Stopping {
         /// When the stop was last sent, on the steady clock.
         sent_ms: u64,
-        /// When the worker confirmed the stop: from then on the run can't start any more.
+        /// When the worker confirmed the stop, on the steady clock. From then on the run can't start any more.
         confirmed_ms: Option<u64>,
     },
 }
 
-/// A run that was given to a worker.
+/// A run assigned to a worker that is not known to have ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AssignedRun {
-    /// What is known of it.
+    /// What the leader knows about the run.
     pub phase: Phase,
-    /// What it takes.
+    /// Resources that the run occupies on the worker.
     pub need: Resources,
-    /// What was seen of its work.
+    /// Progress that the worker has reported, if any.
     pub progress: Option<Progress>,
-    /// When the worker's word first showed that it had started, on the steady clock.
+    /// When a response of the worker first showed that the run had started, on the steady clock.
     pub started_ms: Option<u64>,
-    /// A former leader gave it out, and nothing speaks against its task.
+    /// Whether a former leader assigned the run and its task is not suspected of crashing workers.
     pub is_inherited: bool,
 }
 
 impl AssignedRun {
     fn new(need: Resources, phase: Phase) -> Self {
         let is_inherited = matches!(phase, Phase::Uncertain { .. });
-        let mut given =
+        let mut assigned =
             Self { phase: Phase::Recording, need, progress: None, started_ms: None, is_inherited };
-        given.set_phase(phase);
-        given
+        assigned.set_phase(phase);
+        assigned
     }
 
-    /// Sets what is known of it.
+    /// Updates the phase, and records the start time when the run is first known to run.
     pub fn set_phase(&mut self, phase: Phase) {
         if let Phase::Running { since_ms } = phase {
             self.started_ms.get_or_insert(since_ms);
@@ -68,90 +69,95 @@
         self.phase = phase;
     }
 
-    /// Notes the share of its work that is done.
+    /// Records the share of the work that the worker reports as done.
     pub fn update_progress(&mut self, percent: u32, now_ms: u64) {
         self.progress.get_or_insert(Progress::new(percent, now_ms)).update(percent, now_ms);
     }
 }
 
-/// The state of the call that looks at a worker.
+/// State of the regular poll of a worker: the call that extends its leases and lists its runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollState {
-    /// None is under way; the next is due at this time.
+    /// No poll is in flight.
     Due {
-        /// On the steady clock.
+        /// When the next poll is due, on the steady clock.
         at_ms: u64,
     },
-    /// One is under way.
+    /// A poll has been sent, and no response has arrived yet.
     InFlight,
 }
 
-/// A worker.
+/// A worker as known to the leader.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// What it registered. Empty but for the name where only records tell of it.
+    /// Its latest registration. All but the name and the data centre is empty for a worker that is known only from a
+    /// stored run.
     pub registration: Registration,
-    /// The most of each resource that it has said it has.
+    /// The largest capacity that it has ever registered, for each resource.
     pub max_capacity: Resources,
     /// Whether it is registered now.
     pub registered: bool,
-    /// It has answered a look under our epoch, and no bound on its leases has passed since.
+    /// Whether it has answered a poll under the leader's epoch, and its leases have not expired since. Such a worker
+    /// refuses orders of former leaders.
     pub accepted_epoch: bool,
-    /// It drains, by its registration or its own word.
+    /// Whether it drains, according to its registration or to its own response.
     pub draining: bool,
-    /// Its clock less ours, and when that was read.
+    /// Its clock minus the leader's in ms, and when the leader read it, on the steady clock.
     clock: Option<(i64, u64)>,
-    /// When everything there has surely lapsed, if nothing more is sent.
+    /// When all leases on it have certainly expired unless another one is granted, on the steady clock.
     pub leases_expire_by_ms: u64,
-    /// Runs given to it that are not known to have ended.
+    /// Runs assigned to it that are not known to have ended.
     pub runs: BTreeMap<RunKey, AssignedRun>,
-    /// What these take.
+    /// Resources that these runs occupy.
     pub used: Resources,
-    /// Number of the last end that was handled.
+    /// Number of the last run end that the leader has processed.
     pub last_seen_end: u64,
-    /// Number of the last end that is recorded.
+    /// Number of the last run end that is stored, so that the worker may forget it.
     pub last_stored_end: u64,
-    /// The waiting look.
+    /// State of the regular poll, which waits on the worker until a run ends there.
     pub poll: PollState,
-    /// An extra look is under way.
+    /// Whether an extra poll, sent beside the regular one, is in flight.
     pub extra_poll_in_flight: bool,
-    /// Looks that failed since the last answer.
+    /// Polls that have failed since the last successful one.
     pub failed_polls: u32,
-    /// When the first of these failed, on the steady clock.
+    /// When the first of the failed polls failed, on the steady clock.
     pub unresponsive_since_ms: Option<u64>,
-    /// Nothing is started there before this time.
+    /// No run is started on it before this time, on the steady clock.
     pub starts_paused_until_ms: u64,
-    /// The same because others near it are silent; ends early once it answers a look.
+    /// No run is started on it before this time because its data centre seems to be unreachable, on the steady clock.
+    /// Cleared early once it answers a poll.
     pub suspected_until_ms: u64,
-    /// What speaks against it.
+    /// Evidence of failures on it, for its quarantine.
     pub health: health::WorkerHealth,
-    /// Since when it has been unregistered and out of reach while its data centre answered, on the
-    /// steady clock.
+    /// Since when it has been unregistered and has not accepted the leader's epoch while other workers of its data
+    /// centre respond, on the steady clock.
     pub missing_since_ms: Option<u64>,
-    /// When it last answered anything, on the steady clock.
+    /// When it last answered any call, on the steady clock; 0 if never.
     pub last_response_ms: u64,
-    /// A run that may crash it: until that has shown itself harmless nothing else is started there.
+    /// A run that may crash the worker. Nothing else is started on it until that run has proved harmless.
     pub trial: Option<RunKey>,
-    /// Another worker has registered at its address since it fell silent.
+    /// Whether another worker has registered at its address since it stopped responding.
     pub is_replaced: bool,
-    /// Runs that were given up when its leases had run out in silence, and what its crash would say of them.
+    /// Runs that were ended when its leases expired while it was unresponsive, each with the suspicion that applies to
+    /// its task if the worker turns out to have crashed.
     pub expired_runs: Vec<(RunKey, Suspicion)>,
 }
 
-/// A run whose worker has answered for so long after its start has not crashed it by starting.
-const HARMLESS_AFTER_MS: u64 = 300;
+/// A run has not crashed its worker by starting if the worker still answers this long after the start.
+const PROVEN_AFTER_MS: u64 = 300;
 
 impl Worker {
-    /// A worker of which nothing is known yet, whose leases run out by `lapsed_by_ms`.
-    pub fn new(entry: Registration, lapsed_by_ms: u64) -> Self {
+    /// Creates a worker of which only the registration is known. Leases of former leaders may last until
+    /// `leases_expire_by_ms`.
+    pub fn new(registration: Registration, leases_expire_by_ms: u64) -> Self {
         Self {
-            draining: entry.draining,
-            max_capacity: entry.capacity,
-            registration: entry,
+            draining: registration.draining,
+            max_capacity: registration.capacity,
+            registration,
             registered: false,
             accepted_epoch: false,
             clock: None,
-            leases_expire_by_ms: lapsed_by_ms,
+            leases_expire_by_ms,
             runs: BTreeMap::new(),
             used: Resources::ZERO,
             last_seen_end: 0,
@@ -171,9 +177,9 @@
         }
     }
 
-    /// A worker that only records tell of: it can't be reached.
-    pub fn from_run_record(run: &Run, lapsed_by_ms: u64) -> Self {
-        let entry = Registration {
+    /// Creates a worker that is known only from a stored run. It has no address, so it can't be reached.
+    pub fn from_run_record(run: &Run, leases_expire_by_ms: u64) -> Self {
+        let registration = Registration {
             name: run.worker.clone(),
             address: String::new(),
             data_centre: run.data_centre.to_string(),
@@ -182,105 +188,107 @@
             labels: Vec::new(),
             draining: false,
         };
-        Self::new(entry, lapsed_by_ms)
+        Self::new(registration, leases_expire_by_ms)
     }
 
-    /// The rack that it stands in.
+    /// The rack of the worker, from its labels; empty if it has none.
     pub fn rack(&self) -> &str {
         self.registration.labels.get(1).map(String::as_str).unwrap_or_default()
     }
 
-    /// Notes what its clock showed.
+    /// Records the worker's clock, read at `now_ms` on the leader's clock.
     pub fn record_clock(&mut self, clock_ms: u64, now_ms: u64) {
         self.clock = Some((clock_ms as i64 - now_ms as i64, now_ms));
     }
 
-    /// The end of a lease of `lease_ms` from now on, on the worker's clock, if that is known. Notes
-    /// how long it may last.
+    /// Grants a lease of `lease_ms` from now on. Returns its end on the worker's clock, or `None` if that clock has not
+    /// been read yet. Updates the time by which all leases have certainly expired.
     pub fn extend_lease(&mut self, lease_ms: u64, now_ms: u64) -> Option<u64> {
         let (offset_ms, read_ms) = self.clock?;
         let age_ms = now_ms.saturating_sub(read_ms);
-        let lapsed_by_ms = now_ms + options::longest_lease_ms(lease_ms, age_ms);
-        self.leases_expire_by_ms = self.leases_expire_by_ms.max(lapsed_by_ms);
+        let leases_expire_by_ms = now_ms + options::longest_lease_ms(lease_ms, age_ms);
+        self.leases_expire_by_ms = self.leases_expire_by_ms.max(leases_expire_by_ms);
         Some((now_ms as i64 + offset_ms + lease_ms as i64).max(0) as u64)
     }
 
-    /// Gives it a run.
+    /// Adds a run and the resources that it occupies.
     pub fn assign(&mut self, key: RunKey, need: Resources, phase: Phase) {
         if self.runs.insert(key, AssignedRun::new(need, phase)).is_none() {
             self.used = self.used.plus(&need);
         }
     }
 
-    /// A run that a former leader gave out may crash it.
+    /// Makes an inherited run, which may crash the worker, the trial of this worker.
     pub fn resume_trial(&mut self, key: RunKey) {
-        if let Some(given) = self.runs.get_mut(&key) {
-            given.is_inherited = false;
+        if let Some(assigned) = self.runs.get_mut(&key) {
+            assigned.is_inherited = false;
             self.trial = Some(key);
         }
     }
 
-    /// Takes a run that has ended off it, if it is there.
+    /// Removes a run that has ended. Returns it if it was assigned to this worker.
     pub fn remove_run(&mut self, key: RunKey) -> Option<AssignedRun> {
-        let given = self.runs.remove(&key)?;
-        self.used = self.used.minus(&given.need);
+        let assigned = self.runs.remove(&key)?;
+        self.used = self.used.minus(&assigned.need);
         if self.trial == Some(key) {
             self.trial = None;
         }
-        Some(given)
+        Some(assigned)
     }
 
-    /// Sets what is known of a run.
+    /// Updates the phase of a run, if it is assigned to this worker.
     pub fn set_phase(&mut self, key: RunKey, phase: Phase) {
-        if let Some(given) = self.runs.get_mut(&key) {
-            given.set_phase(phase);
+        if let Some(assigned) = self.runs.get_mut(&key) {
+            assigned.set_phase(phase);
         }
     }
 
-    /// Makes the next look due now, unless one is under way or the worker does not answer.
+    /// Makes the regular poll due now, unless one is in flight or the worker does not respond.
     pub fn poll_at_once(&mut self, now_ms: u64) {
         if self.failed_polls == 0 && self.poll != PollState::InFlight {
             self.poll = PollState::Due { at_ms: now_ms };
         }
     }
 
-    /// How long it has not answered, in ms.
+    /// How long the worker has not responded, in ms; 0 if it responds.
     pub fn unresponsive_ms(&self, now_ms: u64) -> u64 {
         self.unresponsive_since_ms.map_or(0, |since_ms| now_ms.saturating_sub(since_ms))
     }
 
-    /// Whether it has ever answered this leader.
+    /// Whether the worker has ever responded to this leader.
     pub fn has_responded(&self) -> bool {
         self.last_response_ms > 0
     }
 
-    /// Whether the worker is not known to have lived on after the start of a run.
-    pub fn is_unproven(&self, given: &AssignedRun) -> bool {
-        given.started_ms.is_none_or(|ms| self.last_response_ms < ms + HARMLESS_AFTER_MS)
+    /// Whether the worker may still crash from the start of the run: it is not known to have outlived the start by
+    /// `PROVEN_AFTER_MS`.
+    pub fn is_unproven(&self, assigned: &AssignedRun) -> bool {
+        assigned.started_ms.is_none_or(|ms| self.last_response_ms < ms + PROVEN_AFTER_MS)
     }
 
-    /// Whether a run may be why the worker has fallen silent. What a former leader gave out may have run
-    /// for long.
-    pub fn is_suspect(&self, given: &AssignedRun) -> bool {
-        given.phase != Phase::Recording && !given.is_inherited && self.is_unproven(given)
+    /// Whether the start of the run may be why the worker stopped responding. Inherited runs are no suspects: they may
+    /// have been running for long.
+    pub fn is_suspect(&self, assigned: &AssignedRun) -> bool {
+        assigned.phase != Phase::Recording && !assigned.is_inherited && self.is_unproven(assigned)
     }
 
-    /// What is free.
+    /// Capacity that no assigned run occupies.
     pub fn free_capacity(&self) -> Resources {
         self.registration.capacity.minus(&self.used)
     }
 
-    /// What would be free once runs that take so much have ended: nothing yet, where it has shrunk below what runs there.
+    /// Capacity that would be free once runs that occupy `freed` have ended. This is nothing if the worker has shrunk
+    /// below what would still run there.
     pub fn free_capacity_after(&self, freed: &Resources) -> Resources {
         self.registration.capacity.minus(&self.used.minus(freed))
     }
 
-    /// Whether it is ours to give work to, unless something speaks against it now.
+    /// Whether this leader may assign runs to the worker at all, leaving temporary obstacles aside.
     pub fn is_available(&self) -> bool {
         self.registered && self.accepted_epoch && !self.draining
     }
 
-    /// Whether starts may be given to it now.
+    /// Whether runs may be started on the worker now.
     pub fn accepts_starts(&self, now_ms: u64) -> bool {
         self.is_available()
             && self.failed_polls == 0
@@ -289,7 +297,7 @@
             && !self.health.is_quarantined(now_ms)
     }
 
-    /// Why it gets no work now; empty where it does.
+    /// Why no run is started on the worker now, as shown to operators; empty if runs may be started.
     pub fn held_back_reason(&self, now_ms: u64) -> &'static str {
         if !self.registered {
             return "not registered";
@@ -315,7 +323,7 @@
         if now_ms < self.suspected_until_ms { "suspected" } else { "" }
     }
 
-    /// Starts nothing there for a while.
+    /// Starts no run on the worker for `pause_ms` from now on.
     pub fn pause_starts(&mut self, now_ms: u64, pause_ms: u64) {
         self.starts_paused_until_ms = self.starts_paused_until_ms.max(now_ms + pause_ms);
     }
