--- a/lilacpass-lead/src/health.rs
+++ b/lilacpass-lead/src/health.rs
@@ -19,7 +19,7 @@
 /// Longest time that it gets nothing: doubled so often.
 const MOST_DOUBLINGS: u32 = 2;
 /// At most one worker in so many is kept idle, whatever the evidence: a mistake must not cost more.
-pub const MOST_QUARANTINED_IN: usize = 4;
+pub const MIN_WORKERS_PER_QUARANTINE: usize = 4;
 
 /// What speaks against a worker.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
--- a/lilacpass-lead/src/orders.rs
+++ b/lilacpass-lead/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to workers: starts and stops, and what their answers or silence mean.
+//! Orders to workers to start and stop runs, and what follows from their results.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 };
 
 impl Leader {
-    /// Orders a run that is recorded.
+    /// Sends the start order of a run that is stored. Ends the run if it can't be started any more.
     pub(crate) fn send_start(&mut self, name: &WorkerName, task: TaskName, run: u32, now: Now) {
         let key = (task, run);
         let recorded = self.workers.get(name).and_then(|worker| worker.runs.get(&key));
@@ -33,10 +33,13 @@
         let lease_ms = self.options.lease_ms;
         let may_extend = self.may_extend_leases(now);
         let Some(worker) = self.workers.get_mut(name) else { return };
-        let startable = may_extend && worker.accepted_epoch && !worker.draining;
-        let has_room = worker.used.fits(&worker.registration.capacity);
-        if !startable || !has_room || needs_ticket && ticket.is_none() {
-            log::info!(task:% = task, run, worker:% = name, startable, has_room; "order not sent");
+        let may_start = may_extend && worker.accepted_epoch && !worker.draining;
+        let fits_capacity = worker.used.fits(&worker.registration.capacity);
+        if !may_start || !fits_capacity || needs_ticket && ticket.is_none() {
+            log::info!(
+                task:% = task, run, worker:% = name, startable = may_start, has_room = fits_capacity;
+                "start not sent"
+            );
             return self.end_never_started(name, key, now);
         }
         let Some(lease_until_ms) = worker.extend_lease(lease_ms, now.steady_ms) else {
@@ -56,6 +59,7 @@
         });
     }
 
+    /// Processes the result of a start order.
     pub(crate) fn on_started(
         &mut self,
         name: &WorkerName,
@@ -82,12 +86,12 @@
             Err(CallError::OtherLife) => self.end_incarnation(name, now),
             Err(CallError::Failed(Verdict::NotRun)) => {
                 worker.pause_starts(now.steady_ms, avoid_ms);
-                log::info!(task:% = task, run, worker:% = name; "start did not reach its worker");
+                log::info!(task:% = task, run, worker:% = name; "start did not reach the worker");
                 self.end_never_started(name, key, now);
             }
             Err(CallError::Failed(Verdict::MayHaveRun | Verdict::Ran)) => {
                 worker.pause_starts(now.steady_ms, avoid_ms);
-                log::info!(task:% = task, run, worker:% = name; "start got no answer");
+                log::info!(task:% = task, run, worker:% = name; "start got no response");
                 if assigned.phase == Phase::Ordered {
                     worker.set_phase(key, Phase::Uncertain { since_ms: now.steady_ms });
                 }
@@ -113,36 +117,38 @@
         }
     }
 
-    /// Starts nothing for a while in a data centre that has gone silent, but on workers that answer
-    /// from now on. Where a whole data centre is cut off, each start sent there costs its task the
-    /// time until it is given up, and then the rest of the lease.
+    /// Suspects a data centre that seems to be unreachable: starts nothing there for a while, except on workers that
+    /// respond from now on. If a whole data centre is cut off, each start sent there delays its task by the timeout of
+    /// the call and then by the rest of the lease.
     ///
-    /// Silent workers alone don't count while others of their data centre answer: where one answer in
-    /// twenty is lost, several of a hundred workers are silent at any moment, and their neighbours were held
-    /// back twenty times a second.
+    /// Unresponsive workers don't count while others in their data centre respond. If one response in twenty is lost,
+    /// several of a hundred workers are unresponsive at any moment, and without this condition their neighbours got no
+    /// starts, twenty times a second.
     pub(crate) fn suspect_data_centre(&mut self, name: &WorkerName, now: Now) {
-        /// A data centre is silent if none of its workers has answered for so long. Sixteen idle ones
-        /// answer twenty looks a second.
-        const QUIET_MS: u64 = 200;
-        /// One silent worker tells nothing of its data centre.
-        const FEWEST_SILENT: usize = 2;
+        /// A data centre is unresponsive if none of its workers has responded for this long. Sixteen idle workers
+        /// together answer twenty polls a second.
+        const UNRESPONSIVE_MS: u64 = 200;
+        /// A single unresponsive worker is no sign that its data centre is unreachable.
+        const MIN_UNRESPONSIVE: usize = 2;
         let Some(worker) = self.workers.get(name) else { return };
         let data_centre = worker.registration.data_centre.clone();
         let avoid_ms = self.options.avoid_ms;
-        let is_near = |worker: &Worker| worker.registration.data_centre == data_centre;
-        let is_silent = |worker: &Worker| {
+        let is_in_data_centre = |worker: &Worker| worker.registration.data_centre == data_centre;
+        let is_unresponsive = |worker: &Worker| {
             worker.failed_polls > 0 || now.steady_ms < worker.starts_paused_until_ms
         };
-        let near: Vec<&Worker> = self.workers.values().filter(|worker| is_near(worker)).collect();
-        let silent = near.iter().filter(|worker| is_silent(worker)).count();
-        let heard_ms = near.iter().map(|worker| worker.last_response_ms).max().unwrap_or(0);
-        if silent < FEWEST_SILENT || heard_ms + QUIET_MS > now.steady_ms {
+        let neighbours: Vec<&Worker> =
+            self.workers.values().filter(|worker| is_in_data_centre(worker)).collect();
+        let unresponsive = neighbours.iter().filter(|worker| is_unresponsive(worker)).count();
+        let last_response_ms =
+            neighbours.iter().map(|worker| worker.last_response_ms).max().unwrap_or(0);
+        if unresponsive < MIN_UNRESPONSIVE || last_response_ms + UNRESPONSIVE_MS > now.steady_ms {
             return;
         }
         let suspects: Vec<WorkerName> = self
             .workers
             .values_mut()
-            .filter(|worker| is_near(worker) && worker.accepts_starts(now.steady_ms))
+            .filter(|worker| is_in_data_centre(worker) && worker.accepts_starts(now.steady_ms))
             .map(|worker| {
                 worker.suspected_until_ms = now.steady_ms + avoid_ms;
                 worker.registration.name.clone()
@@ -151,11 +157,14 @@
         if suspects.is_empty() {
             return;
         }
-        log::info!(data_centre = data_centre.as_str(), workers = suspects.len(); "data centre is suspected");
+        log::info!(
+            data_centre = data_centre.as_str(), workers = suspects.len();
+            "data centre is suspected to be unreachable"
+        );
         suspects.iter().for_each(|name| self.send_extra_poll(name));
     }
 
-    /// Has a run stopped. A run that has not been ordered is dropped at once.
+    /// Stops a run. A run whose start has not been sent is ended at once.
     pub(crate) fn stop_run(&mut self, name: &WorkerName, key: RunKey, now: Now) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let Some(assigned) = worker.runs.get(&key).copied() else { return };
@@ -170,6 +179,7 @@
         }
     }
 
+    /// Sends a stop order, unless the worker can't be reached at all.
     fn send_stop(&mut self, name: &WorkerName, key: RunKey) {
         let Some(worker) = self.workers.get(name) else { return };
         if worker.registration.address.is_empty() {
@@ -180,6 +190,7 @@
         self.effects.push(Effect::Stop { worker: name.clone(), address, task, run });
     }
 
+    /// Processes the result of a stop order.
     pub(crate) fn on_stopped(
         &mut self,
         name: &WorkerName,
@@ -206,45 +217,46 @@
         }
     }
 
-    /// Replaces runs that stand still, are on a worker that is far too slow, or on one that does not
-    /// answer: by a copy where the step allows it, else by a new run once the old one is stopped.
+    /// Replaces runs that make no progress, run on a worker that is far too slow, or run on an unresponsive worker.
+    /// Where the step allows copies, a copy is started beside the run; otherwise the run is stopped and then started
+    /// again.
     pub(crate) fn replace_stuck_runs(&mut self, now: Now) {
-        let times = times_as_long(&self.run_time_estimates());
-        let mut lost = Vec::new();
+        let slowdowns = worker_slowdowns(&self.run_time_estimates());
+        let mut lost_runs = Vec::new();
         for (name, worker) in &self.workers {
-            let silent = worker.failed_polls > 0;
-            let times = times.get(name).map(Vec::as_slice).unwrap_or_default();
-            let slow = !silent && progress::is_slow_worker(times);
+            let unresponsive = worker.failed_polls > 0;
+            let slowdowns = slowdowns.get(name).map(Vec::as_slice).unwrap_or_default();
+            let is_slow = !unresponsive && progress::is_slow_worker(slowdowns);
             for (key, assigned) in &worker.runs {
-                if silent && self.may_have_copy(*key, assigned) {
-                    lost.push((name.clone(), *key, true, false));
+                if unresponsive && self.may_have_copy(*key, assigned) {
+                    lost_runs.push((name.clone(), *key, true, false));
                     continue;
                 }
-                let Some(plan) = self.replaceable(*key, assigned) else { continue };
+                let Some(plan) = self.replaceable_plan(*key, assigned) else { continue };
                 let estimate_ms = u64::from(plan.estimate_ms);
-                let is_lost = assigned.progress.is_some_and(|seen| {
-                    !silent && seen.is_stalled(estimate_ms, now.steady_ms)
-                        || slow && !seen.is_nearly_done()
+                let is_lost = assigned.progress.is_some_and(|progress| {
+                    !unresponsive && progress.is_stalled(estimate_ms, now.steady_ms)
+                        || is_slow && !progress.is_nearly_done()
                 });
                 if is_lost {
-                    lost.push((name.clone(), *key, plan.speculative, is_lost));
+                    lost_runs.push((name.clone(), *key, plan.speculative, is_lost));
                 }
             }
         }
-        for (name, key, may_copy, is_lost) in lost {
+        for (name, key, may_copy, is_lost) in lost_runs {
             self.replace_run(&name, key, may_copy, is_lost, now);
         }
     }
 
-    /// Whether a copy may run beside a run that its worker may have.
+    /// Whether a copy may be started beside a run on an unresponsive worker.
     fn may_have_copy(&self, key: RunKey, assigned: &AssignedRun) -> bool {
-        let given_out = matches!(assigned.phase, Phase::Running { .. } | Phase::Uncertain { .. });
+        let may_run = matches!(assigned.phase, Phase::Running { .. } | Phase::Uncertain { .. });
         let entry = self.jobs.get(&key.0.step.job);
-        given_out && entry.is_some_and(|entry| entry.job.step_plan(key.0.step.step).speculative)
+        may_run && entry.is_some_and(|entry| entry.job.step_plan(key.0.step.step).speculative)
     }
 
-    /// The plan of a run that may be replaced: one whose work shows in its progress.
-    fn replaceable(&self, key: RunKey, assigned: &AssignedRun) -> Option<&v1::WorkStep> {
+    /// The step plan of a run that may be replaced: it is running, and its progress shows whether it is stuck.
+    fn replaceable_plan(&self, key: RunKey, assigned: &AssignedRun) -> Option<&v1::WorkStep> {
         if !matches!(assigned.phase, Phase::Running { .. }) {
             return None;
         }
@@ -253,23 +265,25 @@
         (!plan.lasting && !plan.gang && !plan.fills).then_some(plan)
     }
 
-    /// How long the runs of each step take by their pace, with their workers.
-    fn run_time_estimates(&self) -> Totals {
-        let mut totals = Totals::new();
+    /// Estimates how long the runs of each step take at their current pace.
+    fn run_time_estimates(&self) -> RunTimeEstimates {
+        let mut estimates = RunTimeEstimates::new();
         for (name, worker) in &self.workers {
             for (key, assigned) in &worker.runs {
-                if self.replaceable(*key, assigned).is_none() {
+                if self.replaceable_plan(*key, assigned).is_none() {
                     continue;
                 }
-                if let Some(total_ms) = assigned.progress.and_then(|seen| seen.estimated_total_ms())
+                if let Some(total_ms) =
+                    assigned.progress.and_then(|progress| progress.estimated_total_ms())
                 {
-                    totals.entry(key.0.step).or_default().push((name.clone(), total_ms));
+                    estimates.entry(key.0.step).or_default().push((name.clone(), total_ms));
                 }
             }
         }
-        totals
+        estimates
     }
 
+    /// Replaces a run by a copy if `may_copy`, otherwise by stopping it.
     fn replace_run(
         &mut self,
         name: &WorkerName,
@@ -284,20 +298,20 @@
             entry.failed_on.insert(name.clone(), now.steady_ms);
             let runs = entry.job.task(task).map_or(0, |task| task.runs.len());
             if runs == 1 && entry.wanted_copies.insert(task) {
-                log::info!(task:% = task, run, worker:% = name, is_lost; "copy wanted");
+                log::info!(task:% = task, run, worker:% = name, is_lost; "copy requested");
                 self.reindex(task.step.job, now);
             }
             return;
         }
-        log::info!(task:% = task, run, worker:% = name; "run makes no progress and is replaced");
+        log::info!(task:% = task, run, worker:% = name; "run makes no progress and is stopped");
         self.record_failure_at(name, task.step.job, now);
         self.stop_run(name, key, now);
     }
 
-    /// Sends stops again that were not confirmed, and looks where confirmed ones are not settled.
+    /// Repeats stop orders that are not confirmed, and polls workers with confirmed stops whose runs have not ended.
     pub(crate) fn retry_stops(&mut self, now: Now) {
         let retry_ms = self.options.stop_retry_ms;
-        let mut due = Vec::new();
+        let mut unconfirmed = Vec::new();
         let mut unsettled = Vec::new();
         for (name, worker) in &mut self.workers {
             for (key, assigned) in &mut worker.runs {
@@ -309,11 +323,11 @@
                 if confirmed_ms.is_some() {
                     unsettled.push(name.clone());
                 } else {
-                    due.push((name.clone(), *key));
+                    unconfirmed.push((name.clone(), *key));
                 }
             }
         }
-        for (name, key) in due {
+        for (name, key) in unconfirmed {
             self.send_stop(&name, key);
         }
         for name in unsettled {
@@ -322,30 +336,28 @@
     }
 }
 
-/// How long the runs of each step take, in ms, with their workers.
-type Totals = BTreeMap<StepName, Vec<(WorkerName, u64)>>;
+/// The estimated time that each run of a step takes, in ms, with its worker.
+type RunTimeEstimates = BTreeMap<StepName, Vec<(WorkerName, u64)>>;
 
-/// For each worker, and each step that runs there and elsewhere, how many times as long it takes
-/// there, by the quickest of its runs there.
+/// For each worker, the slowdown of each step that runs there and elsewhere, according to its fastest run there.
 ///
-/// Goes through the steps and not through the workers: each step has a few runs, and a cell has
-/// hundreds of workers and of steps. The other way round this took over half of the leader's time
-/// at 350 workers.
-fn times_as_long(totals: &Totals) -> BTreeMap<WorkerName, Vec<f64>> {
-    let mut times: BTreeMap<WorkerName, Vec<f64>> = BTreeMap::new();
-    for runs in totals.values() {
-        let mut quickest: BTreeMap<&WorkerName, u64> = BTreeMap::new();
+/// Goes through the steps rather than the workers: a step has few runs, while a cell has hundreds of workers and steps.
+/// Going through the workers took over half of the leader's time with 350 workers.
+fn worker_slowdowns(estimates: &RunTimeEstimates) -> BTreeMap<WorkerName, Vec<f64>> {
+    let mut slowdowns: BTreeMap<WorkerName, Vec<f64>> = BTreeMap::new();
+    for runs in estimates.values() {
+        let mut fastest: BTreeMap<&WorkerName, u64> = BTreeMap::new();
         for (worker, total_ms) in runs {
-            let least_ms = quickest.entry(worker).or_insert(*total_ms);
-            *least_ms = (*least_ms).min(*total_ms);
+            let shortest_ms = fastest.entry(worker).or_insert(*total_ms);
+            *shortest_ms = (*shortest_ms).min(*total_ms);
         }
-        for (worker, here_ms) in quickest {
+        for (worker, here_ms) in fastest {
             let elsewhere = runs.iter().filter(|(other, _)| other != worker);
             let mut elsewhere_ms: Vec<u64> = elsewhere.map(|(_, ms)| *ms).collect();
-            if let Some(ratio) = progress::times_as_long(here_ms, &mut elsewhere_ms) {
-                times.entry(worker.clone()).or_default().push(ratio);
+            if let Some(ratio) = progress::slowdown(here_ms, &mut elsewhere_ms) {
+                slowdowns.entry(worker.clone()).or_default().push(ratio);
             }
         }
     }
-    times
+    slowdowns
 }
--- a/lilacpass-lead/src/outbox.rs
+++ b/lilacpass-lead/src/outbox.rs
@@ -30,7 +30,7 @@
         /// The worker.
         worker: WorkerName,
         /// Up to this number.
-        upto: u64,
+        up_to: u64,
     },
     /// Show the state of a job to callers.
     PublishOutcome(JobKey),
--- a/lilacpass-lead/src/polling.rs
+++ b/lilacpass-lead/src/polling.rs
@@ -1,4 +1,5 @@
-//! Looks at workers: what they tell of their runs, and what their silence means.
+//! Polls of workers: each one extends the leases on the worker and returns its running runs and its run ends. Also
+//! what follows when a worker stops responding.
 
 use std::collections::BTreeSet;
 
@@ -14,16 +15,18 @@
     worker::{Phase, PollState, RunKey, Worker},
 };
 
-/// Most ends that a worker lists at a time. A list of that length may leave ends out.
-const ENDS_PAGE: usize = 500;
-/// Longest pause between looks at a worker that does not answer, in units of the first pause.
-const MOST_RETRY_PAUSES: u64 = 4;
+/// Maximum number of run ends that a worker lists in one response. A response with that many may omit others.
+const MAX_LISTED_ENDS: usize = 500;
+/// Maximum pause between two polls of an unresponsive worker, in multiples of the retry pause.
+const MAX_RETRY_PAUSES: u64 = 4;
 
-/// Looks in a second at workers that list ends which are not noted yet, over all workers: a bound, so that a
-/// leader of hundreds of workers does not spend a slow store's time on looks. 48 workers get one each 0.16 s.
-const UNNOTED_LOOKS_A_SECOND: u64 = 300;
+/// Maximum polls per second, over all workers, of workers that list ends which are not stored yet. Without it, a
+/// leader of hundreds of workers would spend its time on polls while the store is slow. 48 workers get one poll each
+/// in 0.16 s.
+const MAX_POLLS_PER_SECOND_WHILE_STORING: u64 = 300;
 
 impl Leader {
+    /// Processes the result of a poll that was sent at `sent_ms`.
     pub(crate) fn on_polled(
         &mut self,
         name: &WorkerName,
@@ -32,7 +35,7 @@
         result: Result<LookAnswer, CallError>,
         now: Now,
     ) {
-        let retry_ms = self.options.look_retry_ms;
+        let retry_pause_ms = self.options.look_retry_ms;
         let Some(worker) = self.workers.get_mut(name) else { return };
         if extra {
             worker.extra_poll_in_flight = false;
@@ -54,12 +57,13 @@
             Err(err) => {
                 worker.failed_polls += 1;
                 if worker.failed_polls == 1 {
-                    log::info!(worker:% = name, error:? = err; "worker does not answer");
+                    log::info!(worker:% = name, error:? = err; "worker does not respond");
                 }
                 if !extra {
-                    // The first may have lost its answer only, and hides ends until the next.
-                    let pauses = u64::from(worker.failed_polls - 1).min(MOST_RETRY_PAUSES);
-                    worker.poll = PollState::Due { at_ms: now.steady_ms + retry_ms * pauses };
+                    // Polls again at once after the first failure: perhaps only the response was lost, and the ends
+                    // that it listed are not known before the next one.
+                    let pauses = u64::from(worker.failed_polls - 1).min(MAX_RETRY_PAUSES);
+                    worker.poll = PollState::Due { at_ms: now.steady_ms + retry_pause_ms * pauses };
                 }
                 if worker.failed_polls == 1 {
                     self.record_outage(name, now);
@@ -69,29 +73,32 @@
         }
     }
 
+    /// Updates a worker from its response to a poll that was sent at `sent_ms`.
     fn on_poll_response(&mut self, name: &WorkerName, sent_ms: u64, answer: LookAnswer, now: Now) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         if worker.failed_polls == 1 {
             self.response_loss.record_lost_response(now.steady_ms);
         }
         if worker.failed_polls > 0 {
-            log::info!(worker:% = name, failed = worker.failed_polls; "worker answers again");
+            log::info!(worker:% = name, failed = worker.failed_polls; "worker responds again");
             self.outages.clear(name);
         }
-        let first = !worker.accepted_epoch;
-        let was_open = worker.is_available();
-        if first || worker.failed_polls > 0 || worker.suspected_until_ms > now.steady_ms {
+        let is_first_response = !worker.accepted_epoch;
+        let was_available = worker.is_available();
+        if is_first_response || worker.failed_polls > 0 || worker.suspected_until_ms > now.steady_ms
+        {
             self.pending_changes.free(name);
         }
-        // The look may have been answered before the others went silent.
+        // The worker may have answered a poll that was sent earlier before the rest of its data centre became
+        // unreachable.
         if sent_ms + self.options.avoid_ms > worker.suspected_until_ms {
             worker.suspected_until_ms = 0;
         }
         worker.last_response_ms = now.steady_ms;
-        if first {
-            // From now on it refuses a former leader, whose last lease began before this answer. Without
-            // this, work on a worker that goes dark soon after a take-over would wait for the bound
-            // on a leader that can still extend leases, seven seconds longer.
+        if is_first_response {
+            // From now on the worker refuses orders of a former leader, so the last lease granted by one began before
+            // this response. Without this bound, work on a worker that becomes unreachable soon after a take-over would
+            // wait seven seconds longer, for the last lease that a former leader can still grant.
             let lease_ms = options::longest_lease_ms(self.options.lease_ms, 0);
             worker.leases_expire_by_ms = now.steady_ms + lease_ms;
         }
@@ -99,32 +106,32 @@
         worker.failed_polls = 0;
         worker.unresponsive_since_ms = None;
         worker.is_replaced = false;
-        // It was cut off, and has not crashed.
+        // The worker was unreachable and has not crashed.
         worker.expired_runs.clear();
         worker.record_clock(answer.clock_ms, now.steady_ms);
         if answer.remaining_ms.is_some() && !worker.draining {
-            log::info!(worker:% = name, remaining_ms = answer.remaining_ms; "worker drains");
+            log::info!(worker:% = name, remaining_ms = answer.remaining_ms; "worker is draining");
             worker.draining = true;
         }
-        if worker.is_available() != was_open {
+        if worker.is_available() != was_available {
             self.capacity_index.note(worker);
         }
-        let whole = answer.ends.len() < ENDS_PAGE;
-        let mut listed: Vec<RunKey> =
+        let lists_all_ends = answer.ends.len() < MAX_LISTED_ENDS;
+        let mut listed_runs: Vec<RunKey> =
             answer.running.iter().map(|row| (row.task, row.run)).collect();
-        listed.sort_unstable();
+        listed_runs.sort_unstable();
         self.handle_ends(name, answer.ends, now);
         self.handle_running(name, &answer.running, now);
         self.review_trial(name);
-        if whole {
-            self.settle_unlisted_runs(name, &listed, sent_ms, first, now);
+        if lists_all_ends {
+            self.settle_unlisted_runs(name, &listed_runs, sent_ms, is_first_response, now);
         }
     }
 
-    /// Puts the next look off if the worker lists ends that it may not forget yet: it would return at once.
-    /// Ends of other tasks are heard of by it all the same, where the store takes long to note the first.
+    /// Delays the next poll if the worker lists ends that are not stored yet, because such a poll returns at once. The
+    /// worker is still polled now and then, so that the leader learns of other ends while the store is slow.
     fn delay_poll_until_ends_stored(&mut self, name: &WorkerName, now: Now) {
-        let per_worker_ms = self.workers.len() as u64 * 1_000 / UNNOTED_LOOKS_A_SECOND;
+        let per_worker_ms = self.workers.len() as u64 * 1_000 / MAX_POLLS_PER_SECOND_WHILE_STORING;
         let longest_ms = self.options.look_stuck_ms;
         let pause_ms = per_worker_ms.clamp(self.options.look_unnoted_ms, longest_ms);
         let Some(worker) = self.workers.get_mut(name) else { return };
@@ -133,22 +140,22 @@
         }
     }
 
-    /// Handles ends that are new, and lets the worker forget them once they are stored.
+    /// Processes ends that were not seen before, and lets the worker forget them once they are stored.
     fn handle_ends(&mut self, name: &WorkerName, ends: Vec<EndRow>, now: Now) {
         let Some(worker) = self.workers.get_mut(name) else { return };
-        let seen_upto = worker.last_seen_end;
-        let new: Vec<EndRow> = ends.into_iter().filter(|row| row.number > seen_upto).collect();
-        let Some(upto) = new.iter().map(|row| row.number).max() else { return };
-        worker.last_seen_end = upto;
+        let last_seen_end = worker.last_seen_end;
+        let new: Vec<EndRow> = ends.into_iter().filter(|row| row.number > last_seen_end).collect();
+        let Some(up_to) = new.iter().map(|row| row.number).max() else { return };
+        worker.last_seen_end = up_to;
         for row in new {
             self.record_job_begun(row.task.step.job);
             self.update_worker_health(name, row.task.step.job, row.end.how, now);
             self.end_run(name, (row.task, row.end.run), &row.end, now);
         }
-        self.outbox.when_stored(OnStored::ForgetEnds { worker: name.clone(), upto });
+        self.outbox.when_stored(OnStored::ForgetEnds { worker: name.clone(), up_to });
     }
 
-    /// Notes what the end of a run says about its worker and its job.
+    /// Updates the failure evidence against a worker and for a job after a run has ended.
     pub(crate) fn update_worker_health(
         &mut self,
         name: &WorkerName,
@@ -171,28 +178,31 @@
         }
     }
 
-    /// A job came to grief on a worker: weighs whose doing it was.
+    /// Records a failed or stalled run of a job on a worker, and quarantines the worker if the evidence suffices.
     pub(crate) fn record_failure_at(&mut self, name: &WorkerName, job: JobKey, now: Now) {
         if let Some(entry) = self.jobs.get_mut(&job) {
             entry.failed_on.insert(name.clone(), now.steady_ms);
         }
         let quarantined =
             self.workers.values().filter(|w| w.health.is_quarantined(now.steady_ms)).count();
-        let may_quarantine = (quarantined + 1) * health::MOST_QUARANTINED_IN <= self.workers.len();
+        let may_quarantine =
+            (quarantined + 1) * health::MIN_WORKERS_PER_QUARANTINE <= self.workers.len();
         let jobs = &self.jobs;
-        // A job that failed on several workers speaks against none of them.
-        let speaks = |job| jobs.get(&job).is_none_or(|entry| entry.failed_on.len() <= 1);
+        // A job that has failed on several workers is no evidence against any of them.
+        let counts_against_worker =
+            |job| jobs.get(&job).is_none_or(|entry| entry.failed_on.len() <= 1);
         let may_quarantine = may_quarantine && self.options.uses(Mechanism::Quarantine);
         let Some(worker) = self.workers.get_mut(name) else { return };
-        if worker.health.record_failure(job, speaks) && may_quarantine {
+        if worker.health.record_failure(job, counts_against_worker) && may_quarantine {
             worker.health.quarantine(now.steady_ms);
             log::info!(
                 worker:% = name, until_ms = worker.health.quarantined_until_ms - now.steady_ms;
-                "worker spoils its work and gets none"
+                "worker fails its runs and is quarantined"
             );
         }
     }
 
+    /// Updates runs from the list of running runs in a response.
     fn handle_running(&mut self, name: &WorkerName, rows: &[RunningRow], now: Now) {
         for row in rows {
             let key = (row.task, row.run);
@@ -214,61 +224,66 @@
         }
     }
 
-    /// Stops a run that nobody asked for any more: its end was noted for another reason, or it was started late.
-    /// It counts against the worker's room until it is gone.
+    /// Stops an orphaned run, which the leader no longer tracks: it was ended for another reason, or its start was
+    /// carried out late. It occupies capacity of the worker until it has ended.
     fn stop_orphaned_run(&mut self, name: &WorkerName, key: RunKey, now: Now) {
         let need = self.need_of(key.0);
         let Some(worker) = self.workers.get_mut(name) else { return };
-        log::warn!(task:% = key.0, run = key.1, worker:% = name; "stray run");
+        log::warn!(task:% = key.0, run = key.1, worker:% = name; "orphaned run");
         worker.assign(key, need, Phase::Running { since_ms: now.steady_ms });
         self.capacity_index.note(worker);
         self.stop_run(name, key, now);
     }
 
-    /// Settles runs that a look does not list. Only a look that was sent after the last news of a
-    /// run says anything, since answers may overtake each other.
+    /// Settles runs that a poll response does not list. A response counts only if its poll was sent after the run last
+    /// changed its phase, since responses may arrive out of order.
     fn settle_unlisted_runs(
         &mut self,
         name: &WorkerName,
-        listed: &[RunKey],
+        listed_runs: &[RunKey],
         sent_ms: u64,
-        first: bool,
+        is_first_response: bool,
         now: Now,
     ) {
         let Some(worker) = self.workers.get(name) else { return };
-        let absent: Vec<(RunKey, Phase)> = worker
+        let unlisted: Vec<(RunKey, Phase)> = worker
             .runs
             .iter()
-            .filter(|(key, _)| listed.binary_search(key).is_err())
+            .filter(|(key, _)| listed_runs.binary_search(key).is_err())
             .map(|(key, assigned)| (*key, assigned.phase))
             .collect();
-        for (key, phase) in absent {
+        for (key, phase) in unlisted {
             match phase {
                 Phase::Recording | Phase::Ordered => {}
-                // Orders of a former leader are void from the first look of its successor on.
-                Phase::Uncertain { .. } if first => self.end_never_started(name, key, now),
+                // Since the first poll of its successor, the worker refuses start orders of a former leader.
+                Phase::Uncertain { .. } if is_first_response => {
+                    self.end_never_started(name, key, now)
+                }
                 Phase::Uncertain { since_ms } | Phase::Running { since_ms } => {
                     if sent_ms > since_ms {
                         self.stop_run(name, key, now);
                     }
                 }
                 Phase::Stopping { confirmed_ms: Some(confirmed_ms), .. } => {
-                    if first || sent_ms > confirmed_ms {
+                    if is_first_response || sent_ms > confirmed_ms {
                         self.end_never_started(name, key, now);
                     }
                 }
-                Phase::Stopping { .. } if first => self.end_never_started(name, key, now),
+                Phase::Stopping { .. } if is_first_response => {
+                    self.end_never_started(name, key, now)
+                }
                 Phase::Stopping { .. } => {}
             }
         }
     }
 
-    /// A run that was not started and can't be any more.
+    /// Ends a run that never started and can't start any more.
     pub(crate) fn end_never_started(&mut self, name: &WorkerName, key: RunKey, now: Now) {
         let end = End { run: key.1, how: How::Void, checkpoint: String::new() };
         self.end_run(name, key, &end, now);
     }
 
+    /// Removes a worker and what is kept about it.
     pub(crate) fn forget_worker(&mut self, name: &WorkerName) {
         if let Some(worker) = self.workers.remove(name)
             && self.latest_by_address.get(&worker.registration.address) == Some(name)
@@ -278,6 +293,7 @@
         self.capacity_index.remove(name);
     }
 
+    /// Ends all runs that are still assigned to a worker, as if their leases had expired.
     pub(crate) fn expire_all_runs(&mut self, name: &WorkerName, now: Now) {
         let Some(worker) = self.workers.get(name) else { return };
         let runs: Vec<RunKey> = worker.runs.keys().copied().collect();
@@ -287,56 +303,56 @@
         }
     }
 
-    /// Counts the work on workers as ended whose leases have run out by their slowest clock.
+    /// Ends the runs on workers whose leases have expired even by the slowest possible worker clock, and forgets
+    /// workers that are gone.
     pub(crate) fn expire_unresponsive_workers(&mut self, now: Now) {
-        let lapsed: Vec<WorkerName> = self
+        let expired: Vec<WorkerName> = self
             .workers
             .values()
             .filter(|worker| now.steady_ms > worker.leases_expire_by_ms)
             .filter(|worker| !worker.runs.is_empty() || !worker.registered)
             .map(|worker| worker.registration.name.clone())
             .collect();
-        if lapsed.is_empty() {
+        if expired.is_empty() {
             return;
         }
-        for name in lapsed {
+        for name in expired {
             let Some(worker) = self.workers.get(&name) else { continue };
             if !worker.runs.is_empty() {
                 log::info!(
                     worker:% = name, runs = worker.runs.len(),
                     silent_ms = worker.unresponsive_ms(now.steady_ms);
-                    "leases of a silent worker have lapsed"
+                    "leases of an unresponsive worker have expired"
                 );
                 self.counters.count_lost_worker(WorkerLoss::LeasesExpired);
             }
             self.expire_worker(&name, now);
         }
-        let is_over = |worker: &&Worker| {
+        let is_gone = |worker: &&Worker| {
             !worker.registered
                 && worker.runs.is_empty()
                 && !Self::awaits_crash_evidence(worker, now)
         };
-        let over = self.workers.values().filter(is_over);
-        let over: Vec<WorkerName> = over.map(|worker| worker.registration.name.clone()).collect();
-        over.iter().for_each(|name| self.forget_worker(name));
+        let gone = self.workers.values().filter(is_gone);
+        let gone: Vec<WorkerName> = gone.map(|worker| worker.registration.name.clone()).collect();
+        gone.iter().for_each(|name| self.forget_worker(name));
     }
 
-    /// Takes workers for gone that a former leader gave work to, that are not registered, and that we
-    /// can't reach, once all this has held for the time in which a worker that lives is registered
-    /// again.
+    /// Presumes that workers are gone to which a former leader assigned runs, that are not registered, and that have
+    /// not responded to this leader, once this has lasted for the time in which a live worker registers again.
     ///
-    /// Such a worker could live on only together with a former leader that goes on extending its
-    /// leases, both cut off from us and from the store; then other workers of its data centre would
-    /// not answer us. Without this, work on a worker that left while the leader changed would wait
-    /// for the longest lease that the former leader can have given, over ten seconds.
+    /// Such a worker can be alive only if a former leader still extends its leases and both are cut off from this
+    /// leader and from the store. But then other workers of its data centre would not respond to this leader either,
+    /// so the rule requires that one does. Without it, work on a worker that left during a change of leader would wait
+    /// for the longest lease that the former leader can have granted, over ten seconds.
     pub(crate) fn give_up_missing_workers(&mut self, now: Now) {
-        let answering = self.responsive_data_centres(now);
+        let responsive = self.responsive_data_centres(now);
         let mut missing = Vec::new();
         for (name, worker) in &mut self.workers {
             let is_missing = !worker.registered
                 && !worker.accepted_epoch
                 && worker.expired_runs.is_empty()
-                && answering.contains(&worker.registration.data_centre);
+                && responsive.contains(&worker.registration.data_centre);
             if !is_missing {
                 worker.missing_since_ms = None;
                 continue;
@@ -349,18 +365,18 @@
         missing.iter().for_each(|name| self.presume_gone(name, missing.len(), now));
     }
 
-    /// Data centres of which a worker has just answered.
+    /// Data centres of which a worker has responded recently.
     fn responsive_data_centres(&self, now: Now) -> BTreeSet<String> {
-        let heard_from_ms = now.steady_ms.saturating_sub(2 * self.options.look_wait_ms);
+        let responded_since_ms = now.steady_ms.saturating_sub(2 * self.options.look_wait_ms);
         self.workers
             .values()
             .filter(|worker| worker.accepted_epoch && worker.failed_polls == 0)
-            .filter(|worker| worker.last_response_ms > heard_from_ms)
+            .filter(|worker| worker.last_response_ms > responded_since_ms)
             .map(|worker| worker.registration.data_centre.clone())
             .collect()
     }
 
-    /// Starts the looks that are due.
+    /// Sends the regular polls that are due.
     pub(crate) fn send_due_polls(&mut self, now: Now) {
         let may_extend = self.may_extend_leases(now);
         let options = &self.options;
@@ -379,14 +395,15 @@
             if worker.registration.address.is_empty() || now.steady_ms < at_ms {
                 continue;
             }
-            let unnoted = worker.last_seen_end > worker.last_stored_end;
-            // Without an answer a lease is not extended again, else silence would never let it lapse.
-            let extend = may_extend && worker.failed_polls == 0;
+            let has_unstored_ends = worker.last_seen_end > worker.last_stored_end;
+            // Grants no new lease while the worker does not respond; otherwise its leases would never expire.
+            let extends_lease = may_extend && worker.failed_polls == 0;
             let lease_ms =
                 if worker.draining { options.draining_lease_ms } else { options.lease_ms };
             let lease_until_ms =
-                if extend { worker.extend_lease(lease_ms, now.steady_ms) } else { None };
-            let wait_ms = if worker.accepted_epoch && !unnoted { look_wait_ms } else { 0 };
+                if extends_lease { worker.extend_lease(lease_ms, now.steady_ms) } else { None };
+            let wait_ms =
+                if worker.accepted_epoch && !has_unstored_ends { look_wait_ms } else { 0 };
             worker.poll = PollState::InFlight;
             self.unpolled_workers.remove(&name);
             self.effects.push(Effect::Look {
@@ -401,7 +418,7 @@
         }
     }
 
-    /// Looks at a worker beside the waiting look, to settle a run without delay.
+    /// Sends an extra poll beside the regular one, which may still wait on the worker, to settle a run without delay.
     pub(crate) fn send_extra_poll(&mut self, name: &WorkerName) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         if worker.extra_poll_in_flight || worker.registration.address.is_empty() {
--- a/lilacpass-lead/src/progress.rs
+++ b/lilacpass-lead/src/progress.rs
@@ -30,7 +30,7 @@
 
 /// How many times as long a run of `total_ms` takes as those of its step elsewhere; none where there
 /// are too few to tell.
-pub fn times_as_long(total_ms: u64, elsewhere_ms: &mut [u64]) -> Option<f64> {
+pub fn slowdown(total_ms: u64, elsewhere_ms: &mut [u64]) -> Option<f64> {
     const FEWEST: usize = 2;
     if elsewhere_ms.len() < FEWEST {
         return None;
--- a/lilacpass-lead/src/recording.rs
+++ b/lilacpass-lead/src/recording.rs
@@ -21,9 +21,9 @@
                 OnStored::SendStart { worker, task, run } => {
                     self.send_start(&worker, task, run, now)
                 }
-                OnStored::ForgetEnds { worker, upto } => {
+                OnStored::ForgetEnds { worker, up_to } => {
                     if let Some(worker) = self.workers.get_mut(&worker) {
-                        worker.last_stored_end = worker.last_stored_end.max(upto);
+                        worker.last_stored_end = worker.last_stored_end.max(up_to);
                         worker.poll_at_once(now.steady_ms);
                     }
                 }
