--- a/lilacpass-lead/src/crash_suspicion.rs
+++ b/lilacpass-lead/src/crash_suspicion.rs
@@ -1,11 +1,12 @@
-//! What the crash of a worker says about the tasks that ran there.
+//! Decides what the crash of a worker says about the tasks that ran there.
 //!
-//! Load pattern: a task crashes each worker that starts it, and its neighbours see as many crashes as it does, if
-//! it is started often enough.
+//! Load pattern: a task crashes every worker that starts it. Other tasks on these workers see as many crashes as that
+//! task if they are started often enough.
 //!
-//! A task speaks for itself by its worker answering for a while after its start. One that has not done so
-//! when the worker crashes is a suspect, and one that has is not counted beside it. Workers lost to a rack, a
-//! cut or a rolling restart fall silent together, and some of them had no suspect: then nobody is.
+//! A task is proved harmless for the moment when its worker still responds a while after its start. A task for which
+//! this had not happened when the worker crashed is a suspect; if there is one, the other tasks are cleared. Workers
+//! that are lost with their rack, by a network partition or by a rolling restart stop responding at the same time, and
+//! some of them had no suspect; then no task is suspected.
 
 use std::collections::BTreeSet;
 
@@ -18,75 +19,81 @@
     worker::{AssignedRun, Phase, RunKey, Worker},
 };
 
-/// Other workers that fall silent together with one, with no suspect there, after which nothing that ran
-/// on it is to blame.
-const FEWEST_UNCAUSED: usize = 2;
-/// Others that fall silent together with a worker, whatever ran there, so that none of them has a plain cause.
-const FEWEST_TOGETHER: usize = 3;
-/// The same that a new leader finds silent, so many that crashing tasks are a worse explanation.
-pub(crate) const FEWEST_UNSEEN: usize = 4;
-/// Others of its rack that make the rack the suspect, if they are half of it.
-const FEWEST_OF_RACK: usize = 2;
-/// A worker that was not heard of for so long when it was found silent may have crashed at any time in it.
-const MOST_UNHEARD_MS: u64 = 2_000;
+/// Concurrent outages of other workers that had no suspect, from which on the tasks of a worker are cleared.
+const MIN_OUTAGES_WITHOUT_SUSPECT: usize = 2;
+/// Concurrent outages of other workers, with or without suspects, from which on an outage has no single obvious cause.
+const MIN_CONCURRENT_OUTAGES: usize = 3;
+/// Concurrent outages that a new leader finds without knowing when they began, from which on crashing tasks are an
+/// unlikely explanation.
+pub(crate) const MIN_OUTAGES_AT_UNKNOWN_TIME: usize = 4;
+/// Concurrent outages in the worker's rack that point to the rack as the cause, if they affect half of it.
+const MIN_RACK_OUTAGES: usize = 2;
+/// If a worker's last response is older than this when its outage is noticed, the time of its crash is unknown.
+const MAX_RESPONSE_AGE_MS: u64 = 2_000;
 
 impl Leader {
-    /// What the loss of a worker says about each run that it was ordered to start.
+    /// Returns what the loss of a worker says about the task of each run that it may have started.
     pub(crate) fn suspicions(&self, worker: &Worker, now: Now) -> Vec<(RunKey, Suspicion)> {
-        let loss = self.circumstances(worker, now);
+        let circumstances = self.circumstances(worker, now);
         let suspects = self.suspects(worker);
-        let is_known = suspects.iter().any(|suspect| self.was_suspected(suspect));
+        let was_any_suspected = suspects.iter().any(|suspect| self.was_suspected_before(suspect));
         let suspicion = |key: &RunKey, assigned: &AssignedRun| {
             let is_suspect =
-                worker.is_suspect(assigned) && suspects.contains(&self.starting_unit(key.0));
+                worker.is_suspect(assigned) && suspects.contains(&self.start_unit(key.0));
             let has_started = assigned.started_ms.is_some();
             let is_only = is_suspect && suspects.len() == 1 && has_started;
-            match loss {
-                Circumstances::Explained if is_suspect && is_known => Suspicion::Present,
+            match circumstances {
+                Circumstances::Explained if is_suspect && was_any_suspected => Suspicion::Present,
                 Circumstances::Explained => Suspicion::Cleared,
                 Circumstances::Alone if is_only => Suspicion::Only,
                 Circumstances::Alone | Circumstances::Shared if is_suspect => Suspicion::Suspect,
                 Circumstances::Shared => Suspicion::Cleared,
                 Circumstances::Alone if !suspects.is_empty() => Suspicion::Cleared,
-                _ if is_known && !is_suspect => Suspicion::Cleared,
-                Circumstances::Alone | Circumstances::Unseen => Suspicion::Present,
+                _ if was_any_suspected && !is_suspect => Suspicion::Cleared,
+                Circumstances::Alone | Circumstances::UnknownTime => Suspicion::Present,
             }
         };
         let ordered = worker.runs.iter().filter(|(_, assigned)| assigned.phase != Phase::Recording);
         ordered.map(|(key, assigned)| (*key, suspicion(key, assigned))).collect()
     }
 
-    /// What may have crashed a worker: of all that it did not outlive, that which was suspected before.
-    fn suspects(&self, worker: &Worker) -> BTreeSet<StepOrTask> {
+    /// The start units that may have crashed a worker, because it did not outlive their start. If some of them were
+    /// suspected before, only those.
+    fn suspects(&self, worker: &Worker) -> BTreeSet<StartUnit> {
         let suspects = worker.runs.iter().filter(|(_, assigned)| worker.is_suspect(assigned));
-        let suspects: BTreeSet<StepOrTask> =
-            suspects.map(|((task, _), _)| self.starting_unit(*task)).collect();
-        let known: BTreeSet<StepOrTask> =
-            suspects.iter().copied().filter(|suspect| self.was_suspected(suspect)).collect();
-        if known.is_empty() { suspects } else { known }
+        let suspects: BTreeSet<StartUnit> =
+            suspects.map(|((task, _), _)| self.start_unit(*task)).collect();
+        let suspected_before: BTreeSet<StartUnit> =
+            suspects.iter().copied().filter(|suspect| self.was_suspected_before(suspect)).collect();
+        if suspected_before.is_empty() { suspects } else { suspected_before }
     }
 
-    fn was_suspected(&self, (step, index): &StepOrTask) -> bool {
+    /// Whether a start unit was suspected of an earlier crash.
+    fn was_suspected_before(&self, (step, index): &StartUnit) -> bool {
         let entry = self.jobs.get(&step.job);
         entry.is_some_and(|entry| entry.job.is_suspected(step.task(index.unwrap_or(0))))
     }
 
-    /// What else was lost together with a worker.
+    /// The other outages at the time at which a worker was lost.
     fn circumstances(&self, worker: &Worker, now: Now) -> Circumstances {
         let since_ms = worker.unresponsive_since_ms.unwrap_or(now.steady_ms);
-        let unheard_ms = since_ms.saturating_sub(worker.last_response_ms);
-        let together: Vec<&Outage> =
+        let response_age_ms = since_ms.saturating_sub(worker.last_response_ms);
+        let concurrent: Vec<&Outage> =
             self.outages.concurrent_with(&worker.registration.name, since_ms).collect();
-        let uncaused = together.iter().filter(|other| other.has_no_suspect).count();
-        let stood_still =
-            self.last_stall_ms.is_some_and(|ms| since_ms.abs_diff(ms) < MOST_UNHEARD_MS);
-        let is_shared = together.len() >= FEWEST_TOGETHER || self.is_rack_lost(worker, &together);
-        let is_unseen = stood_still || unheard_ms > MOST_UNHEARD_MS;
-        let many = if stood_still { FEWEST_TOGETHER } else { FEWEST_UNSEEN };
-        if uncaused >= FEWEST_UNCAUSED || is_unseen && together.len() >= many {
+        let without_suspect = concurrent.iter().filter(|other| other.has_no_suspect).count();
+        let was_stalled =
+            self.last_stall_ms.is_some_and(|ms| since_ms.abs_diff(ms) < MAX_RESPONSE_AGE_MS);
+        let is_shared =
+            concurrent.len() >= MIN_CONCURRENT_OUTAGES || self.is_rack_lost(worker, &concurrent);
+        let is_time_unknown = was_stalled || response_age_ms > MAX_RESPONSE_AGE_MS;
+        let min_concurrent =
+            if was_stalled { MIN_CONCURRENT_OUTAGES } else { MIN_OUTAGES_AT_UNKNOWN_TIME };
+        if without_suspect >= MIN_OUTAGES_WITHOUT_SUSPECT
+            || is_time_unknown && concurrent.len() >= min_concurrent
+        {
             Circumstances::Explained
-        } else if is_unseen {
-            Circumstances::Unseen
+        } else if is_time_unknown {
+            Circumstances::UnknownTime
         } else if is_shared {
             Circumstances::Shared
         } else {
@@ -94,34 +101,34 @@
         }
     }
 
-    /// Whether half of a worker's rack fell silent together with it.
-    fn is_rack_lost(&self, worker: &Worker, together: &[&Outage]) -> bool {
+    /// Whether half of a worker's rack was lost at the same time.
+    fn is_rack_lost(&self, worker: &Worker, concurrent: &[&Outage]) -> bool {
         let rack = worker.rack();
-        let silent = together.iter().filter(|other| !rack.is_empty() && other.rack == rack).count();
-        let of_rack = || self.workers.values().filter(|other| other.rack() == rack).count();
-        silent >= FEWEST_OF_RACK && 2 * silent >= of_rack()
+        let lost = concurrent.iter().filter(|other| !rack.is_empty() && other.rack == rack).count();
+        let rack_size = || self.workers.values().filter(|other| other.rack() == rack).count();
+        lost >= MIN_RACK_OUTAGES && 2 * lost >= rack_size()
     }
 
-    /// What starts together with a task: its gang, or itself alone.
-    fn starting_unit(&self, task: TaskName) -> StepOrTask {
+    /// The unit in which a task is started: its gang, or the task alone.
+    fn start_unit(&self, task: TaskName) -> StartUnit {
         let entry = self.jobs.get(&task.step.job);
         let is_gang = entry.is_some_and(|entry| entry.job.step_plan(task.step.step).gang);
         (task.step, if is_gang { None } else { Some(task.index) })
     }
 }
 
-/// What else was lost together with a worker.
+/// What other outages say about the loss of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Circumstances {
-    /// Nothing that tells of another cause.
+    /// Nothing points to another cause.
     Alone,
-    /// The same, but nobody knows when it was.
-    Unseen,
-    /// Several others, which may have their own causes or a common one.
+    /// Nothing points to another cause, but the time of the loss is unknown.
+    UnknownTime,
+    /// Several other workers were lost at the same time, each for its own cause or all for a common one.
     Shared,
-    /// Others without a cause of their own, or many of which nobody knows when it was.
+    /// Other workers were lost without a suspect, or many were lost at an unknown time: the cause is a common one.
     Explained,
 }
 
-/// A gang by its step, or a task by its step and index.
-type StepOrTask = (StepName, Option<u32>);
+/// What is started together: a gang, named by its step, or a single task, named by its step and index.
+type StartUnit = (StepName, Option<u32>);
--- a/lilacpass-lead/src/lost_workers.rs
+++ b/lilacpass-lead/src/lost_workers.rs
@@ -1,7 +1,7 @@
-//! Workers that are lost: by a crash, by leaving, or in silence; and what follows for the runs there.
+//! Workers that are lost because they crashed, left or stopped responding, and what follows for their runs.
 //!
-//! A worker that fell silent and answers again has not crashed, whatever that cost. So crashes are counted when
-//! another life of the worker answers, or when nobody lists it any more.
+//! A worker that stops responding and then responds again has not crashed, even if its leases expired meanwhile. So a
+//! crash is counted only when another incarnation of the worker responds, or when the worker is registered no more.
 
 use std::{cmp::Reverse, mem};
 
@@ -11,18 +11,18 @@
 
 use crate::{
     counters::WorkerLoss,
-    crash_suspicion::FEWEST_UNSEEN,
+    crash_suspicion::MIN_OUTAGES_AT_UNKNOWN_TIME,
     event::{Now, Registration},
     leader::Leader,
     outages::Outage,
     worker::{RunKey, Worker},
 };
 
-/// How long a silent worker whose leases have run out is asked whether it has crashed, if nobody lists it.
-const ASKED_FOR_MS: u64 = 30_000;
+/// How long an unregistered worker is still polled after its leases have expired, to learn whether it has crashed.
+const CRASH_EVIDENCE_WAIT_MS: u64 = 30_000;
 
 impl Leader {
-    /// The life of a worker is known to be over: nothing runs there any more.
+    /// Processes the end of a worker's incarnation: nothing runs there any more.
     pub(crate) fn end_incarnation(&mut self, name: &WorkerName, now: Now) {
         let Some(worker) = self.workers.get(name) else { return };
         let loss = if worker.draining { WorkerLoss::Left } else { WorkerLoss::Crashed };
@@ -40,42 +40,46 @@
         self.forget_worker(name);
     }
 
+    /// Ends all runs on a crashed worker, and counts its crash for their tasks.
     fn end_all_as_crashed(&mut self, name: &WorkerName, now: Now) {
         let Some(worker) = self.workers.get(name) else { return };
         let mut suspicions = self.suspicions(worker, now);
         if worker.unresponsive_since_ms.is_none() {
             self.record_outage(name, now);
         }
-        let lapsed = self.workers.get_mut(name).map(|worker| mem::take(&mut worker.expired_runs));
-        suspicions.extend(lapsed.into_iter().flatten());
+        let expired_runs =
+            self.workers.get_mut(name).map(|worker| mem::take(&mut worker.expired_runs));
+        suspicions.extend(expired_runs.into_iter().flatten());
         suspicions.sort_by_key(|(key, suspicion)| Reverse((*suspicion, self.crash_count(key.0))));
-        let mut is_explained = false;
+        let mut has_explanation = false;
         for (key, suspicion) in suspicions {
-            let suspicion = if is_explained { Suspicion::Cleared } else { suspicion };
+            let suspicion = if has_explanation { Suspicion::Cleared } else { suspicion };
             self.count_crash(name, key, suspicion, now);
-            is_explained |= self.is_given_up(key.0);
+            has_explanation |= self.has_failed_by_crashes(key.0);
         }
-        // What was not ordered yet.
+        // Runs whose start had not been sent.
         self.expire_all_runs(name, now);
     }
 
-    /// Counts the crash of a worker under a run, which may have been given up when its leases had run out.
+    /// Counts the crash of a worker for one run, which may have been ended already when its leases expired.
     fn count_crash(&mut self, name: &WorkerName, key: RunKey, suspicion: Suspicion, now: Now) {
-        let is_there = self.workers.get(name).is_some_and(|worker| worker.runs.contains_key(&key));
-        if is_there {
+        let is_assigned =
+            self.workers.get(name).is_some_and(|worker| worker.runs.contains_key(&key));
+        if is_assigned {
             return self.end_as_crashed(name, key, suspicion, now);
         }
         self.record_suspicion(name, key, suspicion);
         self.count_crash_after_expiry(name, key, suspicion, now);
     }
 
+    /// Ends a run because its worker crashed.
     fn end_as_crashed(&mut self, name: &WorkerName, key: RunKey, suspicion: Suspicion, now: Now) {
         let end = End { run: key.1, how: How::Crashed(suspicion), checkpoint: String::new() };
         self.record_suspicion(name, key, suspicion);
         self.end_run(name, key, &end, now);
     }
 
-    /// A worker on which a run was given up when its leases had run out turns out to have crashed.
+    /// Counts the crash of a worker for a run that was ended when the worker's leases expired.
     fn count_crash_after_expiry(
         &mut self,
         name: &WorkerName,
@@ -91,13 +95,14 @@
         }
     }
 
+    /// Logs that a worker crashed under a task that may be the cause, and records it for the job.
     fn record_suspicion(&mut self, name: &WorkerName, (task, run): RunKey, suspicion: Suspicion) {
         if suspicion == Suspicion::Cleared {
             return;
         }
         log::info!(
             task:% = task, run, worker:% = name, suspicion = suspicion.as_str();
-            "worker crashed under task"
+            "worker crashed while it ran the task"
         );
         let address = self.workers.get(name).map(|worker| worker.registration.address.clone());
         let Some(entry) = self.jobs.get_mut(&task.step.job) else { return };
@@ -107,19 +112,18 @@
         }
     }
 
-    /// Crashes under a task without a better explanation.
+    /// Number of workers that crashed under a task and whose crashes have no better explanation.
     fn crash_count(&self, task: TaskName) -> usize {
         self.jobs.get(&task.step.job).map_or(0, |entry| entry.job.crashed_workers(task).len())
     }
 
-    /// Whether a task was given up for the workers that crashed under it.
-    fn is_given_up(&self, task: TaskName) -> bool {
+    /// Whether the job of a task has failed because of the workers that crashed under that task.
+    fn has_failed_by_crashes(&self, task: TaskName) -> bool {
         let failure = self.jobs.get(&task.step.job).and_then(|entry| entry.job.failure);
         failure.is_some_and(|failure| failure.cause == Cause::Crashes && failure.task == task)
     }
 
-    /// A task was given up for the workers that crashed under it: what else ran on these need not have
-    /// crashed them.
+    /// Clears the other tasks on the workers that crashed under the task `by`, which failed its job for these crashes.
     fn explain_crashes(&mut self, by: TaskName) {
         let job = self.jobs.get(&by.step.job).map(|entry| &entry.job);
         let workers = job.map(|job| job.crashed_workers(by)).unwrap_or_default();
@@ -134,7 +138,7 @@
         }
     }
 
-    /// A worker has fallen silent.
+    /// Records that a worker has stopped responding.
     pub(crate) fn record_outage(&mut self, name: &WorkerName, now: Now) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         worker.unresponsive_since_ms = Some(now.steady_ms);
@@ -147,13 +151,17 @@
         });
     }
 
-    /// A worker of a former leader is taken for gone: nobody lists it, and it does not answer. What ran there is known
-    /// to have been there at a crash, until the worker turns out to live. Several at a time are a common cause.
+    /// Presumes that a worker of a former leader is gone: it is not registered, and it does not respond. Its tasks
+    /// count as present at a crash until the worker turns out to be alive. If more than a few workers are missing at
+    /// the same time, they have a common cause, and their tasks are cleared.
     pub(crate) fn presume_gone(&mut self, name: &WorkerName, missing: usize, now: Now) {
-        log::info!(worker:% = name, missing; "worker is taken for gone");
+        log::info!(worker:% = name, missing; "worker is presumed gone");
         self.counters.count_lost_worker(WorkerLoss::LeasesExpired);
-        let suspicion =
-            if missing > FEWEST_UNSEEN { Suspicion::Cleared } else { Suspicion::Present };
+        let suspicion = if missing > MIN_OUTAGES_AT_UNKNOWN_TIME {
+            Suspicion::Cleared
+        } else {
+            Suspicion::Present
+        };
         let keys: Vec<RunKey> =
             self.workers.get(name).map(|w| w.runs.keys().copied().collect()).unwrap_or_default();
         for &key in &keys {
@@ -166,7 +174,7 @@
         self.forget_worker(name);
     }
 
-    /// A worker is registered: if it was taken for gone, it had been cut off and nothing crashed it.
+    /// Takes back the crashes counted for a worker that was presumed gone and is registered again: it had been cut off.
     pub(crate) fn retract_presumed_crashes(&mut self, name: &WorkerName) {
         for task in self.presumed_gone.remove(name).unwrap_or_default() {
             let Some(entry) = self.jobs.get_mut(&task.step.job) else { continue };
@@ -176,30 +184,32 @@
         }
     }
 
-    /// A worker registers that was not known. One that is silent at the same address has most likely crashed; only once
-    /// its leases have run out does anything follow from it.
-    pub(crate) fn track_address(&mut self, entry: &Registration) {
-        if self.workers.contains_key(&entry.name) {
+    /// Records the address of a new registration. If the previous worker at this address does not respond, it has most
+    /// likely crashed; this has no effect before its leases have expired.
+    pub(crate) fn track_address(&mut self, registration: &Registration) {
+        if self.workers.contains_key(&registration.name) {
             return;
         }
-        let before = self.latest_by_address.insert(entry.address.clone(), entry.name.clone());
-        let before = before.and_then(|name| self.workers.get_mut(&name));
-        if let Some(worker) = before.filter(|worker| worker.failed_polls > 0) {
+        let previous =
+            self.latest_by_address.insert(registration.address.clone(), registration.name.clone());
+        let previous = previous.and_then(|name| self.workers.get_mut(&name));
+        if let Some(worker) = previous.filter(|worker| worker.failed_polls > 0) {
             worker.is_replaced = true;
         }
     }
 
-    /// The leases at a worker have run out, perhaps before its silence was noticed. What ran there starts
-    /// elsewhere; whether the worker crashed or was cut off is known once it answers, or another life of it does.
+    /// Ends the runs on a worker whose leases have expired, so that they start elsewhere. The worker may not have been
+    /// noticed to be unresponsive yet. Whether it crashed or was cut off is known once it or another incarnation of it
+    /// responds.
     pub(crate) fn expire_worker(&mut self, name: &WorkerName, now: Now) {
         let Some(worker) = self.workers.get(name) else { return };
         let may_have_crashed = !worker.draining;
         if may_have_crashed && worker.is_replaced {
             self.end_all_as_crashed(name, now);
         } else if may_have_crashed {
-            let lapsed = self.suspicions(worker, now);
+            let expired_runs = self.suspicions(worker, now);
             if let Some(worker) = self.workers.get_mut(name) {
-                worker.expired_runs.extend(lapsed);
+                worker.expired_runs.extend(expired_runs);
             }
         }
         let Some(worker) = self.workers.get_mut(name) else { return };
@@ -208,14 +218,14 @@
         self.expire_all_runs(name, now);
     }
 
-    /// Whether a worker that is not registered any more may still tell that it has crashed.
+    /// Whether an unregistered worker is still polled, because its response may show that it has crashed.
     pub(crate) fn awaits_crash_evidence(worker: &Worker, now: Now) -> bool {
         !worker.expired_runs.is_empty()
             && !worker.registration.address.is_empty()
-            && now.steady_ms < worker.leases_expire_by_ms + ASKED_FOR_MS
+            && now.steady_ms < worker.leases_expire_by_ms + CRASH_EVIDENCE_WAIT_MS
     }
 
-    /// A job has failed: tells why.
+    /// Counts and logs the failure of a job.
     pub(crate) fn report_failure(&mut self, key: JobKey) {
         let failure = self.jobs.get(&key).and_then(|entry| entry.job.failure);
         let Some(failure) = failure else { return };
--- a/lilacpass-lead/src/trials.rs
+++ b/lilacpass-lead/src/trials.rs
@@ -1,8 +1,8 @@
-//! How a task that may crash its workers is tried again.
+//! Trials: how a task that may crash its workers is started again.
 //!
-//! Load pattern: started again and again such a task takes one worker after the other out of the cell, with all
-//! that runs beside it. It goes to a worker where a crash does least harm, and nothing else is sent there before
-//! that worker has answered for a while: so the next crash has one suspect.
+//! Load pattern: a crashing task that is started again and again takes down one worker after the other, with
+//! everything that runs there. So it is started on a worker where a crash does the least harm, and nothing else is
+//! started there until that worker has responded for a while. The next crash then has a single suspect.
 
 use std::cmp::Reverse;
 
@@ -17,26 +17,26 @@
     worker::RunKey,
 };
 
-/// A run that has worked for so long clears its task of earlier crashes.
-const ACQUITTED_AFTER_MS: u64 = 20_000;
+/// A run that has worked for this long clears its task of earlier crashes.
+const CLEARED_AFTER_MS: u64 = 20_000;
 
 impl Leader {
-    /// Whether a task is to be tried where its worker's crash would do least harm and show most: workers have
-    /// crashed under it, or are silent since its start.
+    /// Whether the next start of a task is a trial: workers have crashed under it, or its worker has not responded
+    /// since the start of its run.
     pub(crate) fn is_on_trial(&self, entry: &JobEntry, name: TaskName) -> bool {
         let runs = entry.job.task(name).map(|task| task.runs.as_slice()).unwrap_or_default();
-        let is_lost_at_start = |run: &Run| {
+        let is_lost_after_start = |run: &Run| {
             let worker = self.workers.get(&run.worker).filter(|worker| worker.failed_polls > 0);
             worker.is_some_and(|worker| {
                 let assigned = worker.runs.get(&(name, run.number));
                 assigned.is_some_and(|assigned| worker.is_suspect(assigned))
             })
         };
-        entry.job.is_suspected(name) || runs.iter().any(is_lost_at_start)
+        entry.job.is_suspected(name) || runs.iter().any(is_lost_after_start)
     }
 
-    /// Picks workers for tasks that may crash them, one each: where fewest others have yet to show that they
-    /// are harmless, and where a crash does least harm.
+    /// Picks workers for the trials of tasks, one worker for each. Prefers workers with few other runs that have not
+    /// proved harmless yet, and those where a crash does little harm.
     pub(crate) fn pick_for_trials(
         &self,
         entry: &JobEntry,
@@ -45,53 +45,53 @@
         count: usize,
     ) -> Vec<WorkerName> {
         let need = place::need(plan);
-        let mut able: Vec<_> = hosts
+        let mut candidates: Vec<_> = hosts
             .iter()
             .filter(|host| host.may_take > 0 && need.fits(&host.room))
             .filter_map(|host| Some((host, self.workers.get(&host.name)?)))
             .map(|(host, worker)| {
-                let unclear =
+                let unproven =
                     worker.runs.values().filter(|assigned| worker.is_unproven(assigned)).count();
-                let crashed = entry.crashed_addresses.contains(&worker.registration.address);
-                let struck =
-                    worker.runs.keys().filter(|(task, _)| self.has_crashed_workers(*task)).count();
-                let rating = (crashed, unclear, struck, worker.runs.len(), Reverse(host.score));
-                (rating, &host.name)
+                let has_crashed = entry.crashed_addresses.contains(&worker.registration.address);
+                let crash_affected =
+                    worker.runs.keys().filter(|(task, _)| self.has_crashed_worker(*task)).count();
+                let rank =
+                    (has_crashed, unproven, crash_affected, worker.runs.len(), Reverse(host.score));
+                (rank, &host.name)
             })
             .collect();
-        able.sort_unstable();
-        able.into_iter().take(count).map(|(_, name)| name.clone()).collect()
+        candidates.sort_unstable();
+        candidates.into_iter().take(count).map(|(_, name)| name.clone()).collect()
     }
 
-    /// Whether a worker has crashed under a task.
-    fn has_crashed_workers(&self, task: TaskName) -> bool {
+    /// Whether a worker has crashed while it ran the task.
+    fn has_crashed_worker(&self, task: TaskName) -> bool {
         let entry = self.jobs.get(&task.step.job);
         entry.and_then(|entry| entry.job.task(task)).is_some_and(|task| task.crashes.known > 0)
     }
 
-    /// A task that may crash its worker is given to one: nothing else is, before the task has shown itself
-    /// harmless.
+    /// Marks a run as the trial of its worker. Nothing else is started there until the run has proved harmless.
     pub(crate) fn begin_trial(&mut self, name: &WorkerName, key: RunKey) {
-        log::info!(task:% = key.0, run = key.1, worker:% = name; "task is tried by itself");
+        log::info!(task:% = key.0, run = key.1, worker:% = name; "trial of a task begins");
         if let Some(worker) = self.workers.get_mut(name) {
             worker.trial = Some(key);
         }
     }
 
-    /// A worker has answered: ends its trial if that shows the task to be harmless.
+    /// Ends the trial of a worker that has responded, if that shows the run to be harmless.
     pub(crate) fn review_trial(&mut self, name: &WorkerName) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let Some(key) = worker.trial else { return };
-        let is_clear = worker.runs.get(&key).is_none_or(|assigned| !worker.is_unproven(assigned));
-        if is_clear {
+        let is_proven = worker.runs.get(&key).is_none_or(|assigned| !worker.is_unproven(assigned));
+        if is_proven {
             worker.trial = None;
             self.pending_changes.free(name);
         }
     }
 
-    /// A run is at work: clears its task of earlier crashes once it has been for long.
+    /// Clears the task of a running run of earlier crashes if the run has worked for long enough.
     pub(crate) fn clear_proven_task(&mut self, key: RunKey, started_ms: Option<u64>, now: Now) {
-        if started_ms.is_none_or(|ms| now.steady_ms < ms + ACQUITTED_AFTER_MS) {
+        if started_ms.is_none_or(|ms| now.steady_ms < ms + CLEARED_AFTER_MS) {
             return;
         }
         let Some(entry) = self.jobs.get_mut(&key.0.step.job) else { return };
