--- a/lilacpass-lab/src/model_worker.rs
+++ b/lilacpass-lab/src/model_worker.rs
@@ -3,8 +3,10 @@
 use std::collections::BTreeMap;
 
 use lilacpass_core::Resources;
-use lilacpass_jobs::{End, How, TaskName, WorkerName};
-use lilacpass_lead::event::{CallError, EndRow, LookAnswer, Refusal, Registration, RunningRow};
+use lilacpass_jobs::{EndReason, RunEnd, TaskName, WorkerName};
+use lilacpass_lead::event::{
+    CallError, PollResponse, Refusal, Registration, ReportedEnd, ReportedRun,
+};
 
 /// How long a stop takes.
 const STOP_MS: u64 = 100;
@@ -21,7 +23,7 @@
     /// When it ends.
     pub ends_ms: u64,
     /// How it ends.
-    pub how: How,
+    pub how: EndReason,
     /// Work that was done before it started, in milliseconds.
     pub saved_ms: u64,
     /// It takes so many times as long as on a sound worker.
@@ -75,7 +77,7 @@
     /// A look that waits here.
     pub waiting_look: Option<WaitingLook>,
     lease_until_ms: u64,
-    ends: Vec<EndRow>,
+    ends: Vec<ReportedEnd>,
     next_end: u64,
     over: BTreeMap<TaskName, u32>,
 }
@@ -132,15 +134,15 @@
     }
 
     /// Lets time pass. Returns the ends that are new.
-    pub fn advance(&mut self, now_ms: u64) -> Vec<EndRow> {
+    pub fn advance(&mut self, now_ms: u64) -> Vec<ReportedEnd> {
         let known = self.ends.len();
         let has_lapsed = now_ms >= self.lease_until_ms;
-        let over: Vec<(TaskName, How)> = self
+        let over: Vec<(TaskName, EndReason)> = self
             .runs
             .iter()
             .filter_map(|(task, run)| match run.ends_ms <= now_ms {
                 true => Some((*task, run.how)),
-                false => has_lapsed.then_some((*task, How::Lapsed)),
+                false => has_lapsed.then_some((*task, EndReason::Expired)),
             })
             .collect();
         for (task, how) in over {
@@ -149,11 +151,11 @@
         self.ends[known..].to_vec()
     }
 
-    fn end(&mut self, task: TaskName, how: How, now_ms: u64) {
+    fn end(&mut self, task: TaskName, how: EndReason, now_ms: u64) {
         let Some(run) = self.runs.remove(&task) else { return };
         self.over.insert(task, run.run);
-        let end = End { run: run.run, how, checkpoint: run.checkpoint(now_ms) };
-        self.ends.push(EndRow { number: self.next_end, task, end });
+        let end = RunEnd { run: run.run, reason: how, checkpoint: run.checkpoint(now_ms) };
+        self.ends.push(ReportedEnd { number: self.next_end, task, end });
         self.next_end += 1;
     }
 
@@ -163,21 +165,21 @@
     }
 
     /// A look arrives: leases are extended, ends forgotten.
-    pub fn look(&mut self, lease_until_ms: Option<u64>, forget_upto: u64) {
+    pub fn look(&mut self, lease_until_ms: Option<u64>, forget_up_to: u64) {
         self.lease_until_ms = self.lease_until_ms.max(lease_until_ms.unwrap_or(0));
-        self.ends.retain(|row| row.number > forget_upto);
+        self.ends.retain(|row| row.number > forget_up_to);
     }
 
     /// What it answers to a look.
-    pub fn look_answer(&self, now_ms: u64) -> LookAnswer {
-        let row = |(task, run): (&TaskName, &Running)| RunningRow {
+    pub fn look_answer(&self, now_ms: u64) -> PollResponse {
+        let row = |(task, run): (&TaskName, &Running)| ReportedRun {
             task: *task,
             run: run.run,
             checkpoint: run.checkpoint(now_ms),
             percent: run.percent(now_ms),
             gauge: 0,
         };
-        LookAnswer {
+        PollResponse {
             clock_ms: now_ms,
             running: self.runs.iter().map(row).collect(),
             ends: self.ends.clone(),
@@ -203,9 +205,9 @@
     /// An order to stop arrives. Returns the work that is lost, in milliseconds.
     pub fn stop(&mut self, task: TaskName, run: u32, now_ms: u64) -> u64 {
         match self.runs.get_mut(&task) {
-            Some(running) if running.run <= run && running.how != How::Stopped => {
+            Some(running) if running.run <= run && running.how != EndReason::Stopped => {
                 running.ends_ms = running.ends_ms.min(now_ms + STOP_MS);
-                running.how = How::Stopped;
+                running.how = EndReason::Stopped;
                 if running.saves { 0 } else { now_ms.saturating_sub(running.began_ms) }
             }
             Some(_) => 0,
--- a/lilacpass-lead/src/leader.rs
+++ b/lilacpass-lead/src/leader.rs
@@ -12,20 +12,20 @@
 
 use crate::{
     advice::{Lanes, StepAdvice},
-    askers::Askers,
+    advice_queue::AdviceQueue,
+    capacity_index::CapacityIndex,
     counters::Counters,
     event::{Effect, Event, Now, Registration},
-    news::News,
     options::{self, Mechanism, Options},
     outages::RecentOutages,
     outbox::Outbox,
+    pending_changes::PendingChanges,
     place,
     pressure::Pressure,
-    reserve::Reservations,
+    reservations::Reservations,
     response_loss::ResponseLossMeter,
-    rooms::Rooms,
-    turn::Turn,
-    waiting::Waiting,
+    scan::Scan,
+    waiting::WaitingSteps,
     worker::{Phase, PollState, Worker},
 };
 
@@ -105,21 +105,21 @@
     pub(crate) options: Options,
     pub(crate) jobs: HashMap<JobKey, JobEntry>,
     pub(crate) workers: BTreeMap<WorkerName, Worker>,
-    pub(crate) capacity_index: Rooms,
+    pub(crate) capacity_index: CapacityIndex,
     pub(crate) outbox: Outbox,
     pub(crate) advice: HashMap<StepName, StepAdvice>,
     pub(crate) lanes: Lanes,
-    pub(crate) waiting: Waiting,
-    pub(crate) advice_queue: Askers,
+    pub(crate) waiting: WaitingSteps,
+    pub(crate) advice_queue: AdviceQueue,
     /// The steps that are allowed to run on each worker, as far as advice is known.
     pub(crate) allowed_steps: HashMap<WorkerName, BTreeSet<StepName>>,
     pub(crate) reservations: Reservations,
     /// Steps for which runs to preempt were searched for in this round.
     pub(crate) preemption_searches: u32,
     pub(crate) work: SchedulingWork,
-    pub(crate) scan: Turn,
+    pub(crate) scan: Scan,
     pub(crate) pressure: Pressure,
-    pub(crate) pending_changes: News,
+    pub(crate) pending_changes: PendingChanges,
     pub(crate) response_loss: ResponseLossMeter,
     pub(crate) outages: RecentOutages,
     /// The worker that registered most recently at each address.
@@ -168,25 +168,26 @@
 impl Leader {
     /// Creates a leader that has just taken over, with all stored jobs.
     pub fn new(options: Options, jobs: Vec<Job>, now: Now) -> Self {
-        let longest_lease_ms = options::longest_lease_ms(options.lease_ms, options.outlive_ms);
-        let inherited_leases_expire_by_ms = now.steady_ms + options.outlive_ms + longest_lease_ms;
+        let longest_lease_ms =
+            options::longest_lease_ms(options.lease_ms, options.unconfirmed_lease_ms);
+        let inherited_leases_expire_by_ms = now.steady_ms + options.unconfirmed_lease_ms + longest_lease_ms;
         let mut leader = Self {
             options,
             jobs: HashMap::new(),
             workers: BTreeMap::new(),
-            capacity_index: Rooms::default(),
+            capacity_index: CapacityIndex::default(),
             outbox: Outbox::default(),
             advice: HashMap::new(),
             lanes: Lanes::default(),
-            waiting: Waiting::default(),
-            advice_queue: Askers::default(),
+            waiting: WaitingSteps::default(),
+            advice_queue: AdviceQueue::default(),
             allowed_steps: HashMap::new(),
             reservations: Reservations::default(),
             preemption_searches: 0,
             work: SchedulingWork::default(),
-            scan: Turn::default(),
+            scan: Scan::default(),
             pressure: Pressure::new(now),
-            pending_changes: News::default(),
+            pending_changes: PendingChanges::default(),
             response_loss: ResponseLossMeter::default(),
             outages: RecentOutages::default(),
             latest_by_address: HashMap::new(),
@@ -229,9 +230,9 @@
             if job.is_suspected(task) {
                 worker.resume_trial((task, run.number));
             }
-            self.capacity_index.note(worker);
+            self.capacity_index.update(worker);
         }
-        if job.outcome == Outcome::Open && job.is_struck() {
+        if job.outcome == Outcome::Open && job.has_crashes() {
             self.crash_affected_jobs.insert(key);
         }
         self.jobs.insert(key, JobEntry::new(job, true));
@@ -245,16 +246,16 @@
     /// Processes an event. Its effects are collected until [`Leader::finish`].
     pub fn handle(&mut self, event: Event, now: Now) {
         match event {
-            Event::Asked { token, ask } => self.on_asked(token, ask, now),
+            Event::Request { request_id, request } => self.on_request(request_id, request, now),
             Event::Appended => self.on_appended(now),
             Event::NotAppended => {
                 self.outbox.append_refused(now.steady_ms);
-                self.refuse_stuck_jobs(now);
+                self.refuse_unstored_jobs(now);
             }
-            Event::Confirmed { sent_ms } => {
+            Event::LeadershipConfirmed { sent_ms } => {
                 self.leadership_confirmed_ms = self.leadership_confirmed_ms.max(sent_ms)
             }
-            Event::Looked { worker, sent_ms, extra, result } => {
+            Event::Polled { worker, sent_ms, extra, result } => {
                 self.on_polled(&worker, sent_ms, extra, result, now);
             }
             Event::Started { worker, task, run, result } => {
@@ -263,12 +264,12 @@
             Event::Stopped { worker, task, run, result } => {
                 self.on_stopped(&worker, task, run, result, now);
             }
-            Event::Advised { lane, step, asked, advice } => {
-                self.on_advised(&lane, step, &asked, advice, now);
+            Event::AdviceReceived { lane, step, asked, advice } => {
+                self.on_advice_received(&lane, step, &asked, advice, now);
             }
-            Event::WorkerListed(entry) => self.on_worker_registered(entry),
-            Event::WorkerUnlisted(name) => self.on_worker_unregistered(&name),
-            Event::WorkersRead => self.give_up_missing_workers(now),
+            Event::WorkerRegistered(entry) => self.on_worker_registered(entry),
+            Event::WorkerUnregistered(name) => self.on_worker_unregistered(&name),
+            Event::RegistrationsRead => self.give_up_missing_workers(now),
             Event::Lanes(lanes) => self.lanes.set(lanes),
             Event::Tick => self.on_tick(now),
         }
@@ -308,7 +309,8 @@
     /// Whether leases may be extended: only for `outlive_ms` after the last confirmation of the leadership, because a
     /// successor that can't reach a worker waits that long before it starts the worker's runs elsewhere.
     pub(crate) fn may_extend_leases(&self, now: Now) -> bool {
-        now.steady_ms.saturating_sub(self.leadership_confirmed_ms) < self.options.outlive_ms
+        now.steady_ms.saturating_sub(self.leadership_confirmed_ms)
+            < self.options.unconfirmed_lease_ms
     }
 
     /// How long the store has not confirmed the pending append, in ms; 0 if none is pending.
@@ -326,19 +328,19 @@
             .or_insert_with(|| Worker::new(registration.clone(), leases_expire_by_ms));
         worker.registered = true;
         worker.draining |= registration.draining;
-        self.pending_changes.free(&registration.name);
+        self.pending_changes.mark_worker_freed(&registration.name);
         if worker.poll != PollState::InFlight {
             self.unpolled_workers.insert(registration.name.clone());
         }
         worker.max_capacity = worker.max_capacity.max(&registration.capacity);
         worker.registration = registration;
-        self.capacity_index.note(worker);
+        self.capacity_index.update(worker);
     }
 
     fn on_worker_unregistered(&mut self, name: &WorkerName) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.registered = false;
-            self.capacity_index.note(worker);
+            self.capacity_index.update(worker);
         }
     }
 
@@ -367,7 +369,7 @@
             }
             self.review_pools();
         }
-        self.refuse_stuck_jobs(now);
+        self.refuse_unstored_jobs(now);
         if now.steady_ms >= self.next_cleanup_ms {
             self.next_cleanup_ms = now.steady_ms + CLEANUP_INTERVAL_MS;
             self.forget_old_jobs(now);
@@ -376,14 +378,14 @@
 
     /// Updates the pressure level, and logs a change.
     fn update_pressure(&mut self, now: Now) {
-        let scan_ms = self.scan.lasts_ms(now);
+        let scan_ms = self.scan.duration_ms(now);
         let Some(level) = self.pressure.tick(scan_ms, self.work.steps_examined, now) else {
             return;
         };
         log::info!(
             leader = level.as_str(), behind_ms = self.pressure.behind_ms(),
-            tries_a_round = self.pressure.tries_a_round(), waiting = self.waiting.len(),
-            unseen = self.pending_changes.unseen();
+            tries_a_round = self.pressure.max_steps_per_round(), waiting = self.waiting.len(),
+            unseen = self.pending_changes.changed_steps();
             "pressure level changed"
         );
     }
--- a/lilacpass-lead/src/lost_workers.rs
+++ b/lilacpass-lead/src/lost_workers.rs
@@ -6,7 +6,8 @@
 use std::{cmp::Reverse, mem};
 
 use lilacpass_jobs::{
-    End, How, JobKey, Outcome, Suspicion, TaskName, WorkerName, failure::Cause, job::Change,
+    EndReason, JobKey, Outcome, RunEnd, Suspicion, TaskName, WorkerName, failure::Cause,
+    job::Change,
 };
 
 use crate::{
@@ -74,7 +75,8 @@
 
     /// Ends a run because its worker crashed.
     fn end_as_crashed(&mut self, name: &WorkerName, key: RunKey, suspicion: Suspicion, now: Now) {
-        let end = End { run: key.1, how: How::Crashed(suspicion), checkpoint: String::new() };
+        let end =
+            RunEnd { run: key.1, reason: EndReason::Crashed(suspicion), checkpoint: String::new() };
         self.record_suspicion(name, key, suspicion);
         self.end_run(name, key, &end, now);
     }
@@ -88,7 +90,7 @@
         now: Now,
     ) {
         let Some(entry) = self.jobs.get_mut(&task.step.job) else { return };
-        let change = entry.job.note_crash(task, run, name, suspicion, now.unix_ms);
+        let change = entry.job.record_crash(task, run, name, suspicion, now.unix_ms);
         self.outbox.pending.states.insert(task.step.job);
         if change == Change::JobEnded {
             self.on_job_ended(task.step.job, now);
@@ -214,7 +216,7 @@
         }
         let Some(worker) = self.workers.get_mut(name) else { return };
         worker.accepted_epoch = false;
-        self.capacity_index.note(worker);
+        self.capacity_index.update(worker);
         self.expire_all_runs(name, now);
     }
 
--- a/lilacpass-lead/src/orders.rs
+++ b/lilacpass-lead/src/orders.rs
@@ -69,7 +69,7 @@
         now: Now,
     ) {
         let key = (task, run);
-        let avoid_ms = self.options.avoid_ms;
+        let avoid_ms = self.options.worker_avoidance_ms;
         if result.is_ok() {
             self.record_job_begun(task.step.job);
         }
@@ -104,7 +104,7 @@
                     Refusal::Fence => self.effects.push(Effect::Deposed),
                     Refusal::Ticket => {
                         if let Some(advice) = self.advice.get_mut(&task.step) {
-                            advice.drop_ticket(name);
+                            advice.remove_ticket(name);
                         }
                     }
                     Refusal::Old => {}
@@ -132,7 +132,7 @@
         const MIN_UNRESPONSIVE: usize = 2;
         let Some(worker) = self.workers.get(name) else { return };
         let data_centre = worker.registration.data_centre.clone();
-        let avoid_ms = self.options.avoid_ms;
+        let avoid_ms = self.options.worker_avoidance_ms;
         let is_in_data_centre = |worker: &Worker| worker.registration.data_centre == data_centre;
         let is_unresponsive = |worker: &Worker| {
             worker.failed_polls > 0 || now.steady_ms < worker.starts_paused_until_ms
--- a/lilacpass-lead/src/polling.rs
+++ b/lilacpass-lead/src/polling.rs
@@ -3,11 +3,11 @@
 
 use std::collections::BTreeSet;
 
-use lilacpass_jobs::{End, How, JobKey, WorkerName};
+use lilacpass_jobs::{EndReason, JobKey, RunEnd, WorkerName};
 
 use crate::{
     counters::WorkerLoss,
-    event::{CallError, Effect, EndRow, LookAnswer, Now, Refusal, RunningRow},
+    event::{CallError, Effect, Now, PollResponse, Refusal, ReportedEnd, ReportedRun},
     health,
     leader::Leader,
     options::{self, Mechanism},
@@ -32,10 +32,10 @@
         name: &WorkerName,
         sent_ms: u64,
         extra: bool,
-        result: Result<LookAnswer, CallError>,
+        result: Result<PollResponse, CallError>,
         now: Now,
     ) {
-        let retry_pause_ms = self.options.look_retry_ms;
+        let retry_pause_ms = self.options.poll_retry_ms;
         let Some(worker) = self.workers.get_mut(name) else { return };
         if extra {
             worker.extra_poll_in_flight = false;
@@ -74,7 +74,13 @@
     }
 
     /// Updates a worker from its response to a poll that was sent at `sent_ms`.
-    fn on_poll_response(&mut self, name: &WorkerName, sent_ms: u64, answer: LookAnswer, now: Now) {
+    fn on_poll_response(
+        &mut self,
+        name: &WorkerName,
+        sent_ms: u64,
+        answer: PollResponse,
+        now: Now,
+    ) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         if worker.failed_polls == 1 {
             self.response_loss.record_lost_response(now.steady_ms);
@@ -87,11 +93,11 @@
         let was_available = worker.is_available();
         if is_first_response || worker.failed_polls > 0 || worker.suspected_until_ms > now.steady_ms
         {
-            self.pending_changes.free(name);
+            self.pending_changes.mark_worker_freed(name);
         }
         // The worker may have answered a poll that was sent earlier before the rest of its data centre became
         // unreachable.
-        if sent_ms + self.options.avoid_ms > worker.suspected_until_ms {
+        if sent_ms + self.options.worker_avoidance_ms > worker.suspected_until_ms {
             worker.suspected_until_ms = 0;
         }
         worker.last_response_ms = now.steady_ms;
@@ -114,7 +120,7 @@
             worker.draining = true;
         }
         if worker.is_available() != was_available {
-            self.capacity_index.note(worker);
+            self.capacity_index.update(worker);
         }
         let lists_all_ends = answer.ends.len() < MAX_LISTED_ENDS;
         let mut listed_runs: Vec<RunKey> =
@@ -132,8 +138,8 @@
     /// worker is still polled now and then, so that the leader learns of other ends while the store is slow.
     fn delay_poll_until_ends_stored(&mut self, name: &WorkerName, now: Now) {
         let per_worker_ms = self.workers.len() as u64 * 1_000 / MAX_POLLS_PER_SECOND_WHILE_STORING;
-        let longest_ms = self.options.look_stuck_ms;
-        let pause_ms = per_worker_ms.clamp(self.options.look_unnoted_ms, longest_ms);
+        let longest_ms = self.options.poll_unrecorded_max_ms;
+        let pause_ms = per_worker_ms.clamp(self.options.poll_unrecorded_min_ms, longest_ms);
         let Some(worker) = self.workers.get_mut(name) else { return };
         if worker.last_seen_end > worker.last_stored_end && worker.poll != PollState::InFlight {
             worker.poll = PollState::Due { at_ms: now.steady_ms + pause_ms };
@@ -141,15 +147,15 @@
     }
 
     /// Processes ends that were not seen before, and lets the worker forget them once they are stored.
-    fn handle_ends(&mut self, name: &WorkerName, ends: Vec<EndRow>, now: Now) {
+    fn handle_ends(&mut self, name: &WorkerName, ends: Vec<ReportedEnd>, now: Now) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let last_seen_end = worker.last_seen_end;
-        let new: Vec<EndRow> = ends.into_iter().filter(|row| row.number > last_seen_end).collect();
+        let new: Vec<ReportedEnd> = ends.into_iter().filter(|row| row.number > last_seen_end).collect();
         let Some(up_to) = new.iter().map(|row| row.number).max() else { return };
         worker.last_seen_end = up_to;
         for row in new {
             self.record_job_begun(row.task.step.job);
-            self.update_worker_health(name, row.task.step.job, row.end.how, now);
+            self.update_worker_health(name, row.task.step.job, row.end.reason, now);
             self.end_run(name, (row.task, row.end.run), &row.end, now);
         }
         self.outbox.when_stored(OnStored::ForgetEnds { worker: name.clone(), up_to });
@@ -160,11 +166,11 @@
         &mut self,
         name: &WorkerName,
         job: JobKey,
-        how: How,
+        how: EndReason,
         now: Now,
     ) {
         match how {
-            How::Done => {
+            EndReason::Done => {
                 if let Some(worker) = self.workers.get_mut(name) {
                     worker.health.record_success();
                 }
@@ -172,9 +178,13 @@
                     entry.failed_on.clear();
                 }
             }
-            How::Failed => self.record_failure_at(name, job, now),
-            How::Stopped | How::Lapsed | How::Crashed(_) | How::Broken | How::Alone | How::Void => {
-            }
+            EndReason::Failed => self.record_failure_at(name, job, now),
+            EndReason::Stopped
+            | EndReason::Expired
+            | EndReason::Crashed(_)
+            | EndReason::GangBroken
+            | EndReason::GangIncomplete
+            | EndReason::NeverStarted => {}
         }
     }
 
@@ -203,12 +213,12 @@
     }
 
     /// Updates runs from the list of running runs in a response.
-    fn handle_running(&mut self, name: &WorkerName, rows: &[RunningRow], now: Now) {
+    fn handle_running(&mut self, name: &WorkerName, rows: &[ReportedRun], now: Now) {
         for row in rows {
             let key = (row.task, row.run);
             self.record_job_begun(row.task.step.job);
             if let Some(entry) = self.jobs.get_mut(&row.task.step.job) {
-                entry.job.note_checkpoint(row.task, &row.checkpoint);
+                entry.job.update_checkpoint(row.task, &row.checkpoint);
             }
             let Some(worker) = self.workers.get_mut(name) else { return };
             let Some(assigned) = worker.runs.get_mut(&key) else {
@@ -231,7 +241,7 @@
         let Some(worker) = self.workers.get_mut(name) else { return };
         log::warn!(task:% = key.0, run = key.1, worker:% = name; "orphaned run");
         worker.assign(key, need, Phase::Running { since_ms: now.steady_ms });
-        self.capacity_index.note(worker);
+        self.capacity_index.update(worker);
         self.stop_run(name, key, now);
     }
 
@@ -279,7 +289,7 @@
 
     /// Ends a run that never started and can't start any more.
     pub(crate) fn end_never_started(&mut self, name: &WorkerName, key: RunKey, now: Now) {
-        let end = End { run: key.1, how: How::Void, checkpoint: String::new() };
+        let end = RunEnd { run: key.1, reason: EndReason::NeverStarted, checkpoint: String::new() };
         self.end_run(name, key, &end, now);
     }
 
@@ -298,7 +308,7 @@
         let Some(worker) = self.workers.get(name) else { return };
         let runs: Vec<RunKey> = worker.runs.keys().copied().collect();
         for key in runs {
-            let end = End { run: key.1, how: How::Lapsed, checkpoint: String::new() };
+            let end = RunEnd { run: key.1, reason: EndReason::Expired, checkpoint: String::new() };
             self.end_run(name, key, &end, now);
         }
     }
@@ -367,7 +377,7 @@
 
     /// Data centres of which a worker has responded recently.
     fn responsive_data_centres(&self, now: Now) -> BTreeSet<String> {
-        let responded_since_ms = now.steady_ms.saturating_sub(2 * self.options.look_wait_ms);
+        let responded_since_ms = now.steady_ms.saturating_sub(2 * self.options.poll_wait_ms);
         self.workers
             .values()
             .filter(|worker| worker.accepted_epoch && worker.failed_polls == 0)
@@ -380,10 +390,10 @@
     pub(crate) fn send_due_polls(&mut self, now: Now) {
         let may_extend = self.may_extend_leases(now);
         let options = &self.options;
-        let (look_wait_ms, answer_ms) = if self.response_loss.is_lossy(now.steady_ms) {
-            (options.look_wait_lossy_ms, options.look_answer_lossy_ms)
+        let (poll_wait_ms, answer_ms) = if self.response_loss.is_lossy(now.steady_ms) {
+            (options.poll_wait_lossy_ms, options.poll_answer_lossy_ms)
         } else {
-            (options.look_wait_ms, options.look_answer_ms)
+            (options.poll_wait_ms, options.poll_answer_ms)
         };
         let due: Vec<WorkerName> = self.unpolled_workers.iter().cloned().collect();
         for name in due {
@@ -403,14 +413,14 @@
             let lease_until_ms =
                 if extends_lease { worker.extend_lease(lease_ms, now.steady_ms) } else { None };
             let wait_ms =
-                if worker.accepted_epoch && !has_unstored_ends { look_wait_ms } else { 0 };
+                if worker.accepted_epoch && !has_unstored_ends { poll_wait_ms } else { 0 };
             worker.poll = PollState::InFlight;
             self.unpolled_workers.remove(&name);
-            self.effects.push(Effect::Look {
+            self.effects.push(Effect::Poll {
                 worker: worker.registration.name.clone(),
                 address: worker.registration.address.clone(),
                 lease_until_ms,
-                forget_upto: worker.last_stored_end,
+                forget_up_to: worker.last_stored_end,
                 wait_ms,
                 answer_ms,
                 extra: false,
@@ -425,13 +435,13 @@
             return;
         }
         worker.extra_poll_in_flight = true;
-        self.effects.push(Effect::Look {
+        self.effects.push(Effect::Poll {
             worker: name.clone(),
             address: worker.registration.address.clone(),
             lease_until_ms: None,
-            forget_upto: worker.last_stored_end,
+            forget_up_to: worker.last_stored_end,
             wait_ms: 0,
-            answer_ms: self.options.look_answer_ms,
+            answer_ms: self.options.poll_answer_ms,
             extra: true,
         });
     }
--- a/lilacpass-lead/src/recording.rs
+++ b/lilacpass-lead/src/recording.rs
@@ -14,9 +14,9 @@
         self.leadership_confirmed_ms = self.leadership_confirmed_ms.max(self.append_sent_ms);
         for after in self.outbox.append_stored() {
             match after {
-                OnStored::Accept(token, key) => self.accept(token, key),
-                OnStored::Reply(token, answer) => {
-                    self.effects.push(Effect::Reply { token, answer })
+                OnStored::Accept(request_id, key) => self.confirm_submission(request_id, key),
+                OnStored::Reply(request_id, response) => {
+                    self.effects.push(Effect::Reply { request_id, response })
                 }
                 OnStored::SendStart { worker, task, run } => {
                     self.send_start(&worker, task, run, now)
@@ -42,7 +42,7 @@
     /// a job waits which they were told runs, until the worker answers.
     pub(crate) fn record_job_begun(&mut self, key: JobKey) {
         let Some(entry) = self.jobs.get_mut(&key) else { return };
-        if entry.job.note_begun() {
+        if entry.job.mark_started() {
             self.outbox.pending.piggyback_states.insert(key);
         }
     }
--- a/lilacpass-lead/src/reindex.rs
+++ b/lilacpass-lead/src/reindex.rs
@@ -9,7 +9,7 @@
     event::Now,
     leader::{JobEntry, Leader},
     rank,
-    waiting::Sort,
+    waiting::StepKind,
 };
 
 impl Leader {
@@ -38,18 +38,18 @@
         for name in job.step_names() {
             if !may_differ(name) {
                 if self.waiting.rank_of(name).is_some() {
-                    self.pending_changes.change(name);
+                    self.pending_changes.mark_step_changed(name);
                 }
                 continue;
             }
             let waits = waits(entry, name);
             if waits && job.step_may_start(name, now.unix_ms) {
-                let sort = Sort::of(job.step_plan(name.step), job.queue.advice.is_some());
+                let sort = StepKind::of(job.step_plan(name.step), job.queue.advice.is_some());
                 if self.waiting.add(name, sort, now.steady_ms, || rank::of_step(job, name)) {
                     // It asks from the next round on.
-                    self.advice_queue.pause(name, now.steady_ms);
+                    self.advice_queue.delay(name, now.steady_ms);
                 }
-                self.pending_changes.change(name);
+                self.pending_changes.mark_step_changed(name);
                 continue;
             }
             if self.waiting.remove(name) {
@@ -70,7 +70,7 @@
 fn waits(entry: &JobEntry, name: StepName) -> bool {
     let job = &entry.job;
     if job.step_plan(name.step).gang {
-        return job.step(name).is_some_and(Step::all_wait);
+        return job.step(name).is_some_and(Step::all_waiting);
     }
     job.step(name).is_some() && job.task_names(name).any(|task| entry.needs_run(task))
 }
--- a/lilacpass-lead/src/run_ends.rs
+++ b/lilacpass-lead/src/run_ends.rs
@@ -1,29 +1,35 @@
 //! What follows when a run or a job ends.
 
-use lilacpass_jobs::{End, How, JobKey, StepName, TaskName, WorkerName, job::Change};
+use lilacpass_jobs::{EndReason, JobKey, RunEnd, StepName, TaskName, WorkerName, job::Change};
 
 use crate::{event::Now, leader::Leader, options::Mechanism, outbox::OnStored, worker::RunKey};
 
 impl Leader {
     /// Takes note that a run has ended on a worker, and of what follows for its job.
-    pub(crate) fn end_run(&mut self, worker_name: &WorkerName, key: RunKey, end: &End, now: Now) {
+    pub(crate) fn end_run(
+        &mut self,
+        worker_name: &WorkerName,
+        key: RunKey,
+        end: &RunEnd,
+        now: Now,
+    ) {
         let (task, run) = key;
         if let Some(worker) = self.workers.get_mut(worker_name) {
             worker.remove_run(key);
-            self.capacity_index.note(worker);
-            self.pending_changes.free(worker_name);
+            self.capacity_index.update(worker);
+            self.pending_changes.mark_worker_freed(worker_name);
         }
         let Some(entry) = self.jobs.get_mut(&task.step.job) else { return };
         let change = entry.job.end_run(task, worker_name, end, now.unix_ms);
         let outcome = entry.job.outcome;
         log::info!(
-            how:% = end.how, job = outcome.as_str(), task:% = task, run, worker:% = worker_name;
+            how:% = end.reason, job = outcome.as_str(), task:% = task, run, worker:% = worker_name;
             "run ended"
         );
         if change == Change::None {
             return;
         }
-        if end.how != How::Void {
+        if end.reason != EndReason::NeverStarted {
             self.outbox.pending.states.insert(task.step.job);
         }
         match change {
@@ -31,12 +37,12 @@
             Change::TaskDone => {
                 self.stop_copies(task, now);
                 if self.options.uses(Mechanism::NextStepAdvice) {
-                    self.ask_for_next_steps(task.step, now);
+                    self.request_advice_for_next_steps(task.step, now);
                 }
             }
             Change::None | Change::Waiting => {}
         }
-        if end.how != How::Done {
+        if end.reason != EndReason::Done {
             self.stop_gang_run(task, run, now);
         }
         self.reindex_step(task.step, now);
@@ -77,7 +83,7 @@
             self.forget_advice(step);
         }
         for worker in self.reservations.release_job(key) {
-            self.pending_changes.free(&worker);
+            self.pending_changes.mark_worker_freed(&worker);
         }
     }
 
--- a/lilacpass-lead/src/trials.rs
+++ b/lilacpass-lead/src/trials.rs
@@ -47,7 +47,7 @@
         let need = place::need(plan);
         let mut candidates: Vec<_> = hosts
             .iter()
-            .filter(|host| host.may_take > 0 && need.fits(&host.room))
+            .filter(|host| host.remaining_task_limit > 0 && need.fits(&host.room))
             .filter_map(|host| Some((host, self.workers.get(&host.name)?)))
             .map(|(host, worker)| {
                 let unproven =
@@ -85,7 +85,7 @@
         let is_proven = worker.runs.get(&key).is_none_or(|assigned| !worker.is_unproven(assigned));
         if is_proven {
             worker.trial = None;
-            self.pending_changes.free(name);
+            self.pending_changes.mark_worker_freed(name);
         }
     }
 
@@ -95,7 +95,7 @@
             return;
         }
         let Some(entry) = self.jobs.get_mut(&key.0.step.job) else { return };
-        if entry.job.acquit(key.0) {
+        if entry.job.clear_crashes(key.0) {
             self.outbox.pending.piggyback_states.insert(key.0.step.job);
         }
     }
--- a/lilacpass-lead/tests/world/cost.rs
+++ b/lilacpass-lead/tests/world/cost.rs
@@ -5,7 +5,7 @@
 
 use std::mem;
 
-use lilacpass_lead::{Effect, Event, event::Answer, leader::SchedulingWork};
+use lilacpass_lead::{Effect, Event, event::Response, leader::SchedulingWork};
 
 use super::{Action, LeaderInstance, TICK_MS, World};
 
@@ -37,8 +37,8 @@
     /// What it takes to take in an event.
     pub fn of_event(&self, event: &Event) -> u64 {
         match event {
-            Event::Looked { .. } => self.poll_us / 2,
-            Event::Asked { .. } => self.request_us,
+            Event::Polled { .. } => self.poll_us / 2,
+            Event::Request { .. } => self.request_us,
             _ => self.event_us,
         }
     }
@@ -46,8 +46,8 @@
     /// What it takes to carry out an effect.
     pub fn of_effect(&self, effect: &Effect) -> u64 {
         match effect {
-            Effect::Look { .. } => self.poll_us / 2,
-            Effect::Reply { answer: Answer::Refused { .. }, .. } => 0,
+            Effect::Poll { .. } => self.poll_us / 2,
+            Effect::Reply { response: Response::Refused { .. }, .. } => 0,
             _ => self.event_us,
         }
     }
@@ -108,10 +108,10 @@
         effect: &Effect,
         sent_ms: u64,
     ) {
-        let Effect::Look { worker, forget_upto, extra, .. } = effect else { return };
+        let Effect::Poll { worker, forget_up_to, extra, .. } = effect else { return };
         let epoch = self.instances[member].epoch;
-        let result = self.workers[at].poll(epoch, None, *forget_upto);
-        let event = Event::Looked { worker: worker.clone(), sent_ms, extra: *extra, result };
+        let result = self.workers[at].poll(epoch, None, *forget_up_to);
+        let event = Event::Polled { worker: worker.clone(), sent_ms, extra: *extra, result };
         self.plan(1, Action::Deliver { member, event });
     }
 }
--- a/lilacpass-lead/tests/world/worker.rs
+++ b/lilacpass-lead/tests/world/worker.rs
@@ -3,8 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lilacpass_core::Resources;
-use lilacpass_jobs::{End, How, TaskName, WorkerName};
-use lilacpass_lead::event::{CallError, EndRow, LookAnswer, Refusal, Registration, RunningRow};
+use lilacpass_jobs::{EndReason, RunEnd, TaskName, WorkerName};
+use lilacpass_lead::event::{
+    CallError, PollResponse, Refusal, Registration, ReportedEnd, ReportedRun,
+};
 
 /// How long a stop takes.
 const STOP_MS: u64 = 100;
@@ -18,7 +20,7 @@
     pub need: Resources,
     began_ms: u64,
     ends_ms: u64,
-    how: How,
+    how: EndReason,
 }
 
 impl Running {
@@ -56,7 +58,7 @@
     pub recorded_done: BTreeSet<TaskName>,
     epoch: u64,
     lease_until_ms: u64,
-    ends: Vec<EndRow>,
+    ends: Vec<ReportedEnd>,
     next_end: u64,
     /// Ends up to this number were listed before a lease ran out: they may be noted too late, after
     /// the task was started elsewhere.
@@ -148,7 +150,7 @@
         if now_ms + CLOCK_AHEAD_MS > self.lease_until_ms {
             let lapsed: Vec<TaskName> = self.runs.keys().copied().collect();
             self.expired_run_count += lapsed.len() as u64;
-            lapsed.into_iter().for_each(|task| self.end(task, How::Lapsed));
+            lapsed.into_iter().for_each(|task| self.end(task, EndReason::Expired));
             self.last_end_at_expiry = self.next_end - 1;
         }
         self.now_ms_is(now_ms);
@@ -158,17 +160,17 @@
         self.clock_ms = now_ms + CLOCK_AHEAD_MS;
     }
 
-    fn end(&mut self, task: TaskName, how: How) {
+    fn end(&mut self, task: TaskName, how: EndReason) {
         let Some(run) = self.runs.remove(&task) else { return };
-        if how == How::Done {
+        if how == EndReason::Done {
             self.done.insert(task);
         }
-        if how == How::Failed {
+        if how == EndReason::Failed {
             self.failed.push(task);
         }
         self.last_ended_run.insert(task, run.run);
-        let end = End { run: run.run, how, checkpoint: String::new() };
-        self.ends.push(EndRow { number: self.next_end, task, end });
+        let end = RunEnd { run: run.run, reason: how, checkpoint: String::new() };
+        self.ends.push(ReportedEnd { number: self.next_end, task, end });
         self.next_end += 1;
     }
 
@@ -184,26 +186,26 @@
         &mut self,
         epoch: u64,
         lease_until_ms: Option<u64>,
-        forget_upto: u64,
-    ) -> Result<LookAnswer, CallError> {
+        forget_up_to: u64,
+    ) -> Result<PollResponse, CallError> {
         self.fence(epoch)?;
         if let Some(until_ms) = lease_until_ms {
             self.lease_until_ms = self.lease_until_ms.max(until_ms);
         }
-        for row in self.ends.iter().filter(|row| row.number <= forget_upto) {
-            if row.end.how == How::Done && row.number > self.last_end_at_expiry {
+        for row in self.ends.iter().filter(|row| row.number <= forget_up_to) {
+            if row.end.reason == EndReason::Done && row.number > self.last_end_at_expiry {
                 self.recorded_done.insert(row.task);
             }
         }
-        self.ends.retain(|row| row.number > forget_upto);
-        let running = self.runs.iter().map(|(task, run)| RunningRow {
+        self.ends.retain(|row| row.number > forget_up_to);
+        let running = self.runs.iter().map(|(task, run)| ReportedRun {
             task: *task,
             run: run.run,
             checkpoint: String::new(),
             percent: run.percent(self.clock_ms - CLOCK_AHEAD_MS),
             gauge: 0,
         });
-        Ok(LookAnswer {
+        Ok(PollResponse {
             clock_ms: self.clock_ms,
             running: running.collect(),
             ends: self.ends.clone(),
@@ -249,7 +251,7 @@
         lasting: bool,
     ) {
         let ends_ms = if lasting { u64::MAX } else { ends_ms };
-        let how = if fails { How::Failed } else { How::Done };
+        let how = if fails { EndReason::Failed } else { EndReason::Done };
         let began_ms = self.clock_ms - CLOCK_AHEAD_MS;
         self.runs.insert(task, Running { run, need, began_ms, ends_ms, how });
     }
@@ -265,7 +267,7 @@
         match self.runs.get_mut(&task) {
             Some(running) if running.run <= run => {
                 running.ends_ms = running.ends_ms.min(now_ms + STOP_MS);
-                running.how = How::Stopped;
+                running.how = EndReason::Stopped;
                 self.stopped += 1;
             }
             Some(_) => {}
--- a/lilacpass-node/src/lead_handle.rs
+++ b/lilacpass-node/src/leader_handle.rs
@@ -3,7 +3,7 @@
 use lilacpass_jobs::JobKey;
 use lilacpass_lead::{
     Event,
-    event::{Answer, Ask},
+    event::{Request, Response},
 };
 use tokio::sync::{mpsc, oneshot, watch};
 
@@ -15,7 +15,7 @@
     /// Something happened.
     Event(Event),
     /// A caller asks.
-    Ask(Ask, oneshot::Sender<Answer>),
+    Ask(Request, oneshot::Sender<Response>),
     /// The store has surely done nothing of the append under way.
     NotAppended {
         /// Number of the next append.
@@ -40,19 +40,19 @@
 
 /// The way to the leader within its own instance.
 #[derive(Clone)]
-pub struct LeadHandle {
+pub struct LeaderHandle {
     messages: mpsc::UnboundedSender<Message>,
     ended: watch::Receiver<bool>,
 }
 
-impl LeadHandle {
+impl LeaderHandle {
     /// A way to a leader that takes `messages`, and that sets `ended` when it leads no more.
     pub fn new(messages: mpsc::UnboundedSender<Message>, ended: watch::Receiver<bool>) -> Self {
         Self { messages, ended }
     }
 
     /// Asks the leader. None where it ended before it answered: it may have done what was asked.
-    pub async fn ask(&self, ask: Ask) -> Option<Answer> {
+    pub async fn ask(&self, ask: Request) -> Option<Response> {
         let (sender, receiver) = oneshot::channel();
         self.messages.send(Message::Ask(ask, sender)).ok()?;
         receiver.await.ok()
@@ -68,13 +68,13 @@
     /// Has the leader hand over.
     pub fn resign(&self) {
         // A leader that has ended needs no telling.
-        let _ended = self.messages.send(Message::Resign);
+        let _stopped = self.messages.send(Message::Resign);
     }
 }
 
 /// Waits until this instance does not lead any more.
-pub async fn ended(node: &Node) {
-    let Some(mut lead) = node.lead.borrow().clone() else { return };
+pub async fn wait_until_ended(node: &Node) {
+    let Some(mut lead) = node.leader_handle.borrow().clone() else { return };
     // The sender is dropped when the loop ends, which is what is waited for.
     let _dropped = lead.ended.wait_for(|ended| *ended).await;
 }
--- a/lilacpass-node/tests/registry_watch.rs
+++ b/lilacpass-node/tests/registry_watch.rs
@@ -5,10 +5,10 @@
 use lilacpass_core::Resources;
 use lilacpass_jobs::WorkerName;
 use lilacpass_lead::{Event, event::Record};
-use lilacpass_node::{node::Node, registered::Registered, registry_watch};
-use lilacpass_platform::store::Placed;
+use lilacpass_node::{node::Node, registered_workers::RegisteredWorkers, registry_watch};
+use lilacpass_platform::store::StoredRecord;
 use lilacpass_platform_standin::{
-    cell::{Cell, Shape},
+    cell::{Cell, CellConfig},
     instances,
 };
 use tokio::{runtime, sync::mpsc, task, time};
@@ -16,23 +16,26 @@
 const GOOD: &str = r#"{"service": "s", "address": "10.0.0.1:80", "state": "ready"}"#;
 const DRAINS: &str = r#"{"service": "s", "address": "10.0.0.1:80", "state": "draining"}"#;
 
-fn placed(key: &str, offset: u64, value: &str) -> Placed {
-    Placed { offset, record: Record { key: key.to_owned(), value: value.as_bytes().to_vec() } }
+fn placed(key: &str, offset: u64, value: &str) -> StoredRecord {
+    StoredRecord {
+        offset,
+        record: Record { key: key.to_owned(), value: value.as_bytes().to_vec() },
+    }
 }
 
 fn is_listed(event: &Event, name: &str) -> bool {
-    matches!(event, Event::WorkerListed(entry) if entry.name == WorkerName::from(name))
+    matches!(event, Event::WorkerRegistered(entry) if entry.name == WorkerName::from(name))
 }
 
 /// A worker goes on being given work after another writer has written over its entry.
 #[test]
 fn a_worker_whose_entry_can_not_be_read_any_more_is_not_used() {
-    let mut registered = Registered::default();
-    let events = registered.all(vec![placed("w-1", 1, GOOD), placed("w-2", 2, "{}")]);
+    let mut registered = RegisteredWorkers::default();
+    let events = registered.apply_full_read(vec![placed("w-1", 1, GOOD), placed("w-2", 2, "{}")]);
     assert_eq!(events.iter().filter(|event| is_listed(event, "w-1")).count(), 1);
-    let events = registered.all(vec![placed("w-1", 3, "{"), placed("w-2", 4, "{}")]);
-    assert_eq!(events, [Event::WorkerUnlisted(WorkerName::from("w-1"))]);
-    let events = registered.all(vec![placed("w-1", 5, GOOD)]);
+    let events = registered.apply_full_read(vec![placed("w-1", 3, "{"), placed("w-2", 4, "{}")]);
+    assert_eq!(events, [Event::WorkerUnregistered(WorkerName::from("w-1"))]);
+    let events = registered.apply_full_read(vec![placed("w-1", 5, GOOD)]);
     let listed = events.iter().filter(|event| is_listed(event, "w-1")).count();
     assert_eq!(listed, 1, "and used again once it can be read");
 }
@@ -40,22 +43,25 @@
 /// The same where the entry is written over between two looks at all of them.
 #[test]
 fn a_change_that_can_not_be_read_ends_the_use_of_a_worker() {
-    let mut registered = Registered::default();
-    registered.all(vec![placed("w-1", 1, GOOD)]);
-    let events = registered.changed(vec![placed("w-1", 2, "{")]);
-    assert_eq!(events, [Event::WorkerUnlisted(WorkerName::from("w-1"))]);
-    let events = registered.changed(vec![placed("w-1", 3, GOOD)]);
+    let mut registered = RegisteredWorkers::default();
+    registered.apply_full_read(vec![placed("w-1", 1, GOOD)]);
+    let events = registered.apply_changes(vec![placed("w-1", 2, "{")]);
+    assert_eq!(events, [Event::WorkerUnregistered(WorkerName::from("w-1"))]);
+    let events = registered.apply_changes(vec![placed("w-1", 3, GOOD)]);
     assert_eq!(events.iter().filter(|event| is_listed(event, "w-1")).count(), 1);
 }
 
 /// The leader spends its time on looking for work for workers that have only written that they live.
 #[test]
 fn an_entry_that_is_written_again_with_nothing_new_is_no_news() {
-    let mut registered = Registered::default();
-    registered.all(vec![placed("w-1", 1, GOOD)]);
-    assert_eq!(registered.changed(vec![placed("w-1", 2, GOOD), placed("w-1", 3, GOOD)]), []);
-    let events = registered.changed(vec![placed("w-1", 4, DRAINS)]);
-    assert!(matches!(&events[..], [Event::WorkerListed(entry)] if entry.draining), "{events:?}");
+    let mut registered = RegisteredWorkers::default();
+    registered.apply_full_read(vec![placed("w-1", 1, GOOD)]);
+    assert_eq!(registered.apply_changes(vec![placed("w-1", 2, GOOD), placed("w-1", 3, GOOD)]), []);
+    let events = registered.apply_changes(vec![placed("w-1", 4, DRAINS)]);
+    assert!(
+        matches!(&events[..], [Event::WorkerRegistered(entry)] if entry.draining),
+        "{events:?}"
+    );
 }
 
 /// Guards against a leader that goes on filling a worker that has said that it has less room.
@@ -64,13 +70,13 @@
     let says = |cpu: u32| {
         GOOD.replace('}', &format!(r#", "capacity": {{"cpu": {cpu}, "memMb": 100, "gpu": 0}}}}"#))
     };
-    let mut registered = Registered::default();
-    registered.all(vec![placed("w-1", 1, &says(8_000))]);
+    let mut registered = RegisteredWorkers::default();
+    registered.apply_full_read(vec![placed("w-1", 1, &says(8_000))]);
     for (offset, cpu) in [(2, 2_000), (3, 8_000), (4, 0)] {
-        let events = registered.changed(vec![placed("w-1", offset, &says(cpu))]);
+        let events = registered.apply_changes(vec![placed("w-1", offset, &says(cpu))]);
         let room = Resources::new(u64::from(cpu), 100, 0, 0);
         assert!(
-            matches!(&events[..], [Event::WorkerListed(entry)] if entry.capacity == room),
+            matches!(&events[..], [Event::WorkerRegistered(entry)] if entry.capacity == room),
             "{events:?}"
         );
     }
@@ -79,24 +85,27 @@
 /// A worker that has left goes on being counted, or one whose entry was away for a moment is given up.
 #[test]
 fn a_removed_worker_is_gone_once_a_look_at_all_confirms_it() {
-    let mut registered = Registered::default();
-    registered.all(vec![placed("w-1", 1, GOOD), placed("w-2", 2, GOOD)]);
-    assert_eq!(registered.changed(vec![placed("w-1", 3, ""), placed("w-2", 4, "")]), []);
-    assert!(registered.any_missing());
-    let events = registered.all(vec![placed("w-2", 5, GOOD)]);
-    assert!(events.contains(&Event::WorkerUnlisted(WorkerName::from("w-1"))), "{events:?}");
+    let mut registered = RegisteredWorkers::default();
+    registered.apply_full_read(vec![placed("w-1", 1, GOOD), placed("w-2", 2, GOOD)]);
+    assert_eq!(registered.apply_changes(vec![placed("w-1", 3, ""), placed("w-2", 4, "")]), []);
+    assert!(registered.has_missing());
+    let events = registered.apply_full_read(vec![placed("w-2", 5, GOOD)]);
+    assert!(events.contains(&Event::WorkerUnregistered(WorkerName::from("w-1"))), "{events:?}");
     assert!(events.iter().any(|event| is_listed(event, "w-2")), "{events:?}");
-    assert!(!registered.any_missing());
+    assert!(!registered.has_missing());
 }
 
 /// An entry that was removed without a record of it is missed by a look at all, and by the next.
 #[test]
 fn a_worker_that_vanishes_is_gone_after_two_looks_at_all() {
-    let mut registered = Registered::default();
-    registered.all(vec![placed("w-1", 1, GOOD)]);
-    assert_eq!(registered.all(Vec::new()), []);
-    assert!(registered.any_missing());
-    assert_eq!(registered.all(Vec::new()), [Event::WorkerUnlisted(WorkerName::from("w-1"))]);
+    let mut registered = RegisteredWorkers::default();
+    registered.apply_full_read(vec![placed("w-1", 1, GOOD)]);
+    assert_eq!(registered.apply_full_read(Vec::new()), []);
+    assert!(registered.has_missing());
+    assert_eq!(
+        registered.apply_full_read(Vec::new()),
+        [Event::WorkerUnregistered(WorkerName::from("w-1"))]
+    );
 }
 
 /// An instance with a link of 2 Mbit/s leads, and accepted work is lost on a calm day: renewals, looks and orders wait
@@ -105,11 +114,11 @@
 fn following_the_workers_leaves_a_thin_link_free() {
     const LINK_BYTES_A_SECOND: u64 = 250_000;
     const LASTS: Duration = Duration::from_secs(4);
-    let shape = Shape {
+    let shape = CellConfig {
         workers: 200,
-        workers_a_data_centre: 40,
+        workers_per_data_centre: 40,
         capacity: Resources::new(16_000, 65_536, 0, 0),
-        registers_each: Duration::from_millis(1_500),
+        registration_interval: Duration::from_millis(1_500),
     };
     let runtime = runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     task::LocalSet::new().block_on(&runtime, async {
@@ -120,7 +129,7 @@
         time::sleep(LASTS).await;
         inbox.close();
         let most = LINK_BYTES_A_SECOND * LASTS.as_secs() / 4;
-        let read: u64 = cell.calls.borrow().values().map(|calls| calls.answered_bytes).sum();
+        let read: u64 = cell.calls.borrow().values().map(|calls| calls.response_bytes).sum();
         assert!(read > 0 && read <= most, "{read} bytes, {most} at most");
     });
 }
