--- a/lilacpass-lead/src/leader.rs
+++ b/lilacpass-lead/src/leader.rs
@@ -170,7 +170,8 @@
     pub fn new(options: Options, jobs: Vec<Job>, now: Now) -> Self {
         let longest_lease_ms =
             options::longest_lease_ms(options.lease_ms, options.unconfirmed_lease_ms);
-        let inherited_leases_expire_by_ms = now.steady_ms + options.unconfirmed_lease_ms + longest_lease_ms;
+        let inherited_leases_expire_by_ms =
+            now.steady_ms + options.unconfirmed_lease_ms + longest_lease_ms;
         let mut leader = Self {
             options,
             jobs: HashMap::new(),
--- a/lilacpass-lead/src/polling.rs
+++ b/lilacpass-lead/src/polling.rs
@@ -150,7 +150,8 @@
     fn handle_ends(&mut self, name: &WorkerName, ends: Vec<ReportedEnd>, now: Now) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let last_seen_end = worker.last_seen_end;
-        let new: Vec<ReportedEnd> = ends.into_iter().filter(|row| row.number > last_seen_end).collect();
+        let new: Vec<ReportedEnd> =
+            ends.into_iter().filter(|row| row.number > last_seen_end).collect();
         let Some(up_to) = new.iter().map(|row| row.number).max() else { return };
         worker.last_seen_end = up_to;
         for row in new {
