--- a/lilacpass-lead/src/counters.rs
+++ b/lilacpass-lead/src/counters.rs
@@ -1,23 +1,23 @@
-//! What has happened since it was last read, for metrics.
+//! Counts of events for metrics, since they were last read.
 
 use lilacpass_jobs::failure::Cause;
 
 /// How a worker was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WorkerLoss {
-    /// Its life ended, and it had not said that it leaves.
+    /// Its incarnation ended although it was not draining.
     Crashed,
     /// It drained and left.
     Left,
-    /// It was silent until the leases there had run out; it may live.
+    /// It was unresponsive until its leases had expired. It may still be alive.
     LeasesExpired,
 }
 
 impl WorkerLoss {
-    /// All ways.
+    /// All kinds of loss.
     pub const ALL: [Self; 3] = [Self::Crashed, Self::Left, Self::LeasesExpired];
 
-    /// The name in logs and metrics.
+    /// The name of the kind in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Crashed => "crashed",
@@ -27,7 +27,7 @@
     }
 }
 
-/// Counts since they were last read.
+/// Counts of lost workers and failed jobs since they were last read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     lost: [u64; WorkerLoss::ALL.len()],
@@ -35,22 +35,22 @@
 }
 
 impl Counters {
-    /// A worker was lost.
+    /// Counts a lost worker.
     pub fn count_lost_worker(&mut self, how: WorkerLoss) {
         self.lost[how as usize] += 1;
     }
 
-    /// A job has failed.
+    /// Counts a failed job.
     pub fn count_failed_job(&mut self, cause: Cause) {
         self.failed[cause as usize] += 1;
     }
 
-    /// Jobs that failed for a cause.
+    /// Number of jobs that failed for a cause.
     pub fn jobs_failed(&self, cause: Cause) -> u64 {
         self.failed[cause as usize]
     }
 
-    /// Workers lost in a way.
+    /// Number of workers that were lost in a way.
     pub fn workers_lost(&self, how: WorkerLoss) -> u64 {
         self.lost[how as usize]
     }
--- a/lilacpass-lead/src/health.rs
+++ b/lilacpass-lead/src/health.rs
@@ -1,67 +1,72 @@
-//! Tells workers that spoil their work from jobs that can't be done, and both from bad luck.
+//! Evidence of faulty workers, as opposed to jobs that fail anywhere and to occasional failures.
 //!
-//! Load pattern: some workers fail all that they start, at once, and so look idle and draw ever more
-//! work; at the same time some jobs fail wherever they run. A task has few attempts, and each that
-//! is burned on a bad worker brings its job nearer to failing for nothing.
+//! Load pattern: some workers fail everything that they start at once, so they look idle and attract ever more work.
+//! At the same time some jobs fail wherever they run. A task has few attempts, and each one wasted on a faulty worker
+//! brings its job closer to failing without need.
 //!
-//! Evidence against a worker is that several jobs failed there which have not failed elsewhere. One
-//! end as done clears it.
+//! The evidence against a worker is that several jobs have failed there that have not failed elsewhere. A single
+//! successful run clears it.
 
 use std::collections::BTreeSet;
 
 use lilacpass_jobs::JobKey;
 
-/// Jobs whose failure speaks against a worker until it gets no work for a while. A sound task fails
-/// in half a percent to two percent of its runs, so two in a row are most likely the worker's doing.
-const BAD_JOBS: usize = 2;
-/// How long a bad worker gets nothing at first. Troubles of workers last for some seconds.
-const QUARANTINE_MS: u64 = 2_000;
-/// Longest time that it gets nothing: doubled so often.
-const MOST_DOUBLINGS: u32 = 2;
-/// At most one worker in so many is kept idle, whatever the evidence: a mistake must not cost more.
+/// Jobs whose failures on a worker quarantine it. The tasks of a sound job fail in 0.5 % to 2 % of their runs, so two
+/// failures in a row are most likely caused by the worker.
+const QUARANTINE_JOBS: usize = 2;
+/// Length of the first quarantine of a worker. Faults of workers last for some seconds.
+const FIRST_QUARANTINE_MS: u64 = 2_000;
+/// How often the length of the quarantine is doubled at most.
+const MAX_QUARANTINE_DOUBLINGS: u32 = 2;
+/// At most one worker in this many is quarantined, whatever the evidence is, to limit the capacity lost to mistakes.
 pub const MIN_WORKERS_PER_QUARANTINE: usize = 4;
 
-/// What speaks against a worker.
+/// The evidence against a worker, and its quarantine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WorkerHealth {
-    /// Jobs that have failed or stood still there since the last end as done.
+    /// Jobs that have failed or stalled on the worker since a run last succeeded there.
     pub failed_jobs: BTreeSet<JobKey>,
-    /// It gets nothing before this time, on the steady clock.
+    /// The worker gets no runs before this time, on the steady clock.
     pub quarantined_until_ms: u64,
-    /// Times that it was quarantined since the last end as done.
+    /// Number of quarantines since a run last succeeded there.
     quarantines: u32,
 }
 
 impl WorkerHealth {
-    /// Whether nothing speaks against it.
+    /// Whether there is no evidence against the worker.
     pub fn is_clean(&self) -> bool {
         self.failed_jobs.is_empty() && self.quarantines == 0
     }
 
-    /// Whether it gets nothing now.
+    /// Whether the worker is in quarantine.
     pub fn is_quarantined(&self, now_ms: u64) -> bool {
         now_ms < self.quarantined_until_ms
     }
 
-    /// Work was done there.
+    /// Clears the evidence after a run has succeeded on the worker. A quarantine that has begun goes on.
     pub fn record_success(&mut self) {
         *self = Self { quarantined_until_ms: self.quarantined_until_ms, ..Self::default() };
     }
 
-    /// A job failed there. `speaks` tells of a job whether its failure speaks against the worker.
-    /// Returns whether the worker is to get no work for a while.
-    pub fn record_failure(&mut self, job: JobKey, speaks: impl Fn(JobKey) -> bool) -> bool {
+    /// Records that a job failed or stalled on the worker. `counts_against_worker` decides whether the failure of a
+    /// job is evidence against the worker. Returns whether the evidence suffices for a quarantine.
+    pub fn record_failure(
+        &mut self,
+        job: JobKey,
+        counts_against_worker: impl Fn(JobKey) -> bool,
+    ) -> bool {
         self.failed_jobs.insert(job);
-        let against = self.failed_jobs.iter().filter(|&&job| speaks(job)).count();
-        // One that has just been let back must do better than before.
-        let enough = if self.quarantines > 0 { 1 } else { BAD_JOBS };
-        against >= enough
+        let evidence = self.failed_jobs.iter().filter(|&&job| counts_against_worker(job)).count();
+        // After a quarantine, a single failure is enough.
+        let required = if self.quarantines > 0 { 1 } else { QUARANTINE_JOBS };
+        evidence >= required
     }
 
-    /// Gives it no work for a while, longer each time.
+    /// Starts a quarantine, and clears the failed jobs. It is longer than the one before unless a run has succeeded
+    /// since.
     pub fn quarantine(&mut self, now_ms: u64) {
-        let pause_ms = QUARANTINE_MS << self.quarantines.min(MOST_DOUBLINGS);
-        self.quarantined_until_ms = now_ms + pause_ms;
+        let quarantine_ms = FIRST_QUARANTINE_MS << self.quarantines.min(MAX_QUARANTINE_DOUBLINGS);
+        self.quarantined_until_ms = now_ms + quarantine_ms;
         self.quarantines += 1;
         self.failed_jobs.clear();
     }
--- a/lilacpass-lead/src/leader.rs
+++ b/lilacpass-lead/src/leader.rs
@@ -254,7 +254,7 @@
                 self.refuse_unstored_jobs(now);
             }
             Event::LeadershipConfirmed { sent_ms } => {
-                self.leadership_confirmed_ms = self.leadership_confirmed_ms.max(sent_ms)
+                self.leadership_confirmed_ms = self.leadership_confirmed_ms.max(sent_ms);
             }
             Event::Polled { worker, sent_ms, extra, result } => {
                 self.on_polled(&worker, sent_ms, extra, result, now);
@@ -268,7 +268,7 @@
             Event::AdviceReceived { lane, step, asked, advice } => {
                 self.on_advice_received(&lane, step, &asked, advice, now);
             }
-            Event::WorkerRegistered(entry) => self.on_worker_registered(entry),
+            Event::WorkerRegistered(registration) => self.on_worker_registered(registration),
             Event::WorkerUnregistered(name) => self.on_worker_unregistered(&name),
             Event::RegistrationsRead => self.give_up_missing_workers(now),
             Event::Lanes(lanes) => self.lanes.set(lanes),
--- a/lilacpass-lead/src/outages.rs
+++ b/lilacpass-lead/src/outages.rs
@@ -1,56 +1,56 @@
-//! Workers that fell silent of late and have not answered since, to tell what hit several at a time.
+//! Workers that stopped responding recently and have not responded since, to detect outages with a common cause.
 
 use std::collections::VecDeque;
 
 use lilacpass_jobs::WorkerName;
 
-/// Workers that fall silent within this time of each other may have been hit by the same.
-const TOGETHER_MS: u64 = 1_000;
-/// How long a silence is kept. A worker that crashed is back, and known to have, within some seconds.
-const KEPT_MS: u64 = 60_000;
+/// Outages that begin within this time of each other may have a common cause.
+const MAX_CONCURRENT_GAP_MS: u64 = 1_000;
+/// How long an outage is kept. A worker that crashed is back within some seconds, and is then known to have crashed.
+const RETENTION_MS: u64 = 60_000;
 
-/// A worker that has fallen silent.
+/// An outage: a worker that does not respond.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outage {
-    /// The worker.
+    /// Name of the worker.
     pub worker: WorkerName,
-    /// Its rack; empty where that is not known.
+    /// Rack of the worker; empty if unknown.
     pub rack: String,
-    /// Since when, on the steady clock.
+    /// When the outage began, on the steady clock.
     pub since_ms: u64,
-    /// It had lived on after the start of all that ran there: none of that made it fall silent.
+    /// Whether the worker had outlived the start of all its runs, so that none of them is a suspect.
     pub has_no_suspect: bool,
 }
 
-/// Silences, in the order in which they began.
+/// Recent outages, in the order in which they began.
 #[derive(Debug, Default)]
 pub struct RecentOutages {
-    silences: VecDeque<Outage>,
+    outages: VecDeque<Outage>,
 }
 
 impl RecentOutages {
-    /// A worker has fallen silent, or is found to have crashed.
-    pub fn record(&mut self, silence: Outage) {
-        let now_ms = silence.since_ms;
-        while self.silences.front().is_some_and(|first| first.since_ms + KEPT_MS < now_ms) {
-            self.silences.pop_front();
+    /// Records an outage, and drops those that are too old.
+    pub fn record(&mut self, outage: Outage) {
+        let now_ms = outage.since_ms;
+        while self.outages.front().is_some_and(|oldest| oldest.since_ms + RETENTION_MS < now_ms) {
+            self.outages.pop_front();
         }
-        self.silences.push_back(silence);
+        self.outages.push_back(outage);
     }
 
-    /// A worker answers again.
+    /// Removes the outages of a worker that responds again.
     pub fn clear(&mut self, worker: &WorkerName) {
-        self.silences.retain(|silence| silence.worker != *worker);
+        self.outages.retain(|outage| outage.worker != *worker);
     }
 
-    /// Silences of other workers that began together with one that began at `since_ms`.
+    /// Returns the outages of other workers that began at about the same time as one of `worker` at `since_ms`.
     pub fn concurrent_with(
         &self,
         worker: &WorkerName,
         since_ms: u64,
     ) -> impl Iterator<Item = &Outage> {
-        self.silences.iter().filter(move |other| {
-            other.worker != *worker && other.since_ms.abs_diff(since_ms) <= TOGETHER_MS
+        self.outages.iter().filter(move |other| {
+            other.worker != *worker && other.since_ms.abs_diff(since_ms) <= MAX_CONCURRENT_GAP_MS
         })
     }
 }
--- a/lilacpass-lead/src/outbox.rs
+++ b/lilacpass-lead/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Changes on their way into the store: gathered while an append is under way, stored by the next.
+//! Changes to be stored: they are collected while an append is in flight, and stored by the next one.
 
 use std::{collections::BTreeSet, mem};
 
@@ -6,46 +6,46 @@
 
 use crate::event::{RequestId, Response};
 
-/// Pause before an append that the store refused is sent again.
-const RETRY_MS: u64 = 60;
+/// Pause after the store has refused an append, before it is sent again.
+const APPEND_RETRY_MS: u64 = 60;
 
-/// What becomes possible once a change is stored.
+/// An action that is carried out once the changes before it are stored.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OnStored {
-    /// Tell a caller that its job is accepted.
+    /// Tell a client that its job is accepted.
     Accept(RequestId, JobKey),
-    /// Answer a caller.
+    /// Send a response to a client.
     Reply(RequestId, Response),
-    /// Order a run.
+    /// Send the start order of a run to its worker.
     SendStart {
-        /// The worker.
+        /// The worker to which the run is assigned.
         worker: WorkerName,
-        /// The task.
+        /// The task that is run.
         task: TaskName,
-        /// Number of the run.
+        /// Number of the run of the task.
         run: u32,
     },
-    /// Let a worker forget its ends.
+    /// Let a worker forget run ends that it lists.
     ForgetEnds {
-        /// The worker.
+        /// The worker that lists the ends.
         worker: WorkerName,
-        /// Up to this number.
+        /// Number of the last end that it may forget.
         up_to: u64,
     },
-    /// Show the state of a job to callers.
+    /// Show the outcome of a job to clients.
     PublishOutcome(JobKey),
 }
 
-/// Changes, and what follows once they are stored.
+/// Changes to jobs, and the actions that wait until these are stored.
 #[derive(Debug, Default)]
 pub struct RecordBatch {
     /// Jobs whose plan is to be stored.
     pub plans: BTreeSet<JobKey>,
     /// Jobs whose state is to be stored.
     pub states: BTreeSet<JobKey>,
-    /// Jobs whose records are to be dropped.
+    /// Jobs whose records are to be deleted.
     pub deletions: BTreeSet<JobKey>,
-    /// Jobs whose state is stored together with whatever is stored next, since it alone is not worth a call.
+    /// Jobs whose state is stored with the next append, but doesn't cause an append by itself.
     pub piggyback_states: BTreeSet<JobKey>,
     on_stored: Vec<OnStored>,
 }
@@ -60,76 +60,77 @@
     }
 }
 
-/// Changes that are to be stored.
+/// Changes that are to be stored, and those of the append in flight.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    /// Those that wait for the append under way.
+    /// Changes that are not part of an append yet.
     pub pending: RecordBatch,
     in_flight: Option<RecordBatch>,
-    /// When the append under way was first sent.
+    /// When the append in flight, or the one to be repeated, was first sent, on the steady clock.
     first_sent_ms: Option<u64>,
-    not_before_ms: u64,
+    next_append_ms: u64,
 }
 
 impl Outbox {
-    /// Waits with `after` until all that has changed so far is stored.
-    pub fn when_stored(&mut self, after: OnStored) {
-        self.pending.on_stored.push(after);
+    /// Queues an action until all changes so far are stored.
+    pub fn when_stored(&mut self, action: OnStored) {
+        self.pending.on_stored.push(action);
     }
 
-    /// Whether something is to be sent now.
+    /// Whether an append is to be sent now.
     pub fn is_due(&self, now_ms: u64) -> bool {
-        !self.pending.is_empty() && self.in_flight.is_none() && now_ms >= self.not_before_ms
+        !self.pending.is_empty() && self.in_flight.is_none() && now_ms >= self.next_append_ms
     }
 
-    /// Takes all that waits to be sent.
+    /// Starts an append of all pending changes, and returns these.
     pub fn start_append(&mut self, now_ms: u64) -> &RecordBatch {
         self.first_sent_ms.get_or_insert(now_ms);
-        let mut changes = mem::take(&mut self.pending);
-        if changes.has_records() {
-            changes.states.append(&mut changes.piggyback_states);
+        let mut batch = mem::take(&mut self.pending);
+        if batch.has_records() {
+            batch.states.append(&mut batch.piggyback_states);
         } else {
-            self.pending.piggyback_states = mem::take(&mut changes.piggyback_states);
+            self.pending.piggyback_states = mem::take(&mut batch.piggyback_states);
         }
-        self.in_flight.insert(changes)
+        self.in_flight.insert(batch)
     }
 
-    /// Notes that the append under way is stored. Returns what became possible.
+    /// Processes the success of the append in flight. Returns the actions that waited for it.
     pub fn append_stored(&mut self) -> Vec<OnStored> {
         self.first_sent_ms = None;
-        self.in_flight.take().map(|changes| changes.on_stored).unwrap_or_default()
+        self.in_flight.take().map(|batch| batch.on_stored).unwrap_or_default()
     }
 
-    /// Notes that the store has surely done nothing of the append under way.
+    /// Processes the failure of the append in flight, of which the store has certainly stored nothing. Its changes are
+    /// pending again.
     pub fn append_refused(&mut self, now_ms: u64) {
-        let Some(mut changes) = self.in_flight.take() else { return };
-        changes.plans.append(&mut self.pending.plans);
-        changes.states.append(&mut self.pending.states);
-        changes.deletions.append(&mut self.pending.deletions);
-        changes.piggyback_states.append(&mut self.pending.piggyback_states);
-        changes.on_stored.append(&mut self.pending.on_stored);
-        self.pending = changes;
-        self.not_before_ms = now_ms + RETRY_MS;
+        let Some(mut batch) = self.in_flight.take() else { return };
+        batch.plans.append(&mut self.pending.plans);
+        batch.states.append(&mut self.pending.states);
+        batch.deletions.append(&mut self.pending.deletions);
+        batch.piggyback_states.append(&mut self.pending.piggyback_states);
+        batch.on_stored.append(&mut self.pending.on_stored);
+        self.pending = batch;
+        self.next_append_ms = now_ms + APPEND_RETRY_MS;
     }
 
-    /// How long the store has not taken what was sent to it.
+    /// How long the store has failed to store an append, in ms; 0 if there is none.
     pub fn stuck_ms(&self, now_ms: u64) -> u64 {
         self.first_sent_ms.map_or(0, |sent_ms| now_ms.saturating_sub(sent_ms))
     }
 
-    /// Whether the store has refused what was sent to it, and nothing is under way.
+    /// Whether the store has refused the last append and it has not been sent again yet.
     pub fn was_refused(&self) -> bool {
         self.in_flight.is_none() && self.first_sent_ms.is_some()
     }
 
-    /// Takes back jobs that have surely not been stored. Returns their callers.
+    /// Withdraws new jobs that are certainly not stored. Returns them with the requests of their clients.
     pub fn withdraw_unstored_jobs(&mut self) -> Vec<(RequestId, JobKey)> {
-        let taken = mem::take(&mut self.pending.plans);
-        self.pending.states.retain(|job| !taken.contains(job));
-        let mut callers = Vec::new();
-        self.pending.on_stored.retain(|after| match after {
-            OnStored::Accept(request_id, job) if taken.contains(job) => {
-                callers.push((*request_id, *job));
+        let withdrawn = mem::take(&mut self.pending.plans);
+        self.pending.states.retain(|job| !withdrawn.contains(job));
+        let mut clients = Vec::new();
+        self.pending.on_stored.retain(|action| match action {
+            OnStored::Accept(request_id, job) if withdrawn.contains(job) => {
+                clients.push((*request_id, *job));
                 false
             }
             OnStored::Accept(..)
@@ -138,6 +139,6 @@
             | OnStored::ForgetEnds { .. }
             | OnStored::PublishOutcome(_) => true,
         });
-        callers
+        clients
     }
 }
--- a/lilacpass-lead/src/polling.rs
+++ b/lilacpass-lead/src/polling.rs
@@ -43,11 +43,11 @@
             self.unpolled_workers.insert(name.clone());
         }
         match result {
-            Ok(answer) => {
+            Ok(response) => {
                 if !extra {
                     worker.poll = PollState::Due { at_ms: now.steady_ms };
                 }
-                self.on_poll_response(name, sent_ms, answer, now);
+                self.on_poll_response(name, sent_ms, response, now);
                 if !extra {
                     self.delay_poll_until_ends_stored(name, now);
                 }
@@ -78,7 +78,7 @@
         &mut self,
         name: &WorkerName,
         sent_ms: u64,
-        answer: PollResponse,
+        response: PollResponse,
         now: Now,
     ) {
         let Some(worker) = self.workers.get_mut(name) else { return };
@@ -114,20 +114,20 @@
         worker.is_replaced = false;
         // The worker was unreachable and has not crashed.
         worker.expired_runs.clear();
-        worker.record_clock(answer.clock_ms, now.steady_ms);
-        if answer.remaining_ms.is_some() && !worker.draining {
-            log::info!(worker:% = name, remaining_ms = answer.remaining_ms; "worker is draining");
+        worker.record_clock(response.clock_ms, now.steady_ms);
+        if response.remaining_ms.is_some() && !worker.draining {
+            log::info!(worker:% = name, remaining_ms = response.remaining_ms; "worker is draining");
             worker.draining = true;
         }
         if worker.is_available() != was_available {
             self.capacity_index.update(worker);
         }
-        let lists_all_ends = answer.ends.len() < MAX_LISTED_ENDS;
+        let lists_all_ends = response.ends.len() < MAX_LISTED_ENDS;
         let mut listed_runs: Vec<RunKey> =
-            answer.running.iter().map(|row| (row.task, row.run)).collect();
+            response.running.iter().map(|row| (row.task, row.run)).collect();
         listed_runs.sort_unstable();
-        self.handle_ends(name, answer.ends, now);
-        self.handle_running(name, &answer.running, now);
+        self.handle_ends(name, response.ends, now);
+        self.handle_running(name, &response.running, now);
         self.review_trial(name);
         if lists_all_ends {
             self.settle_unlisted_runs(name, &listed_runs, sent_ms, is_first_response, now);
@@ -167,10 +167,10 @@
         &mut self,
         name: &WorkerName,
         job: JobKey,
-        how: EndReason,
+        reason: EndReason,
         now: Now,
     ) {
-        match how {
+        match reason {
             EndReason::Done => {
                 if let Some(worker) = self.workers.get_mut(name) {
                     worker.health.record_success();
@@ -268,7 +268,7 @@
                 Phase::Recording | Phase::Ordered => {}
                 // Since the first poll of its successor, the worker refuses start orders of a former leader.
                 Phase::Uncertain { .. } if is_first_response => {
-                    self.end_never_started(name, key, now)
+                    self.end_never_started(name, key, now);
                 }
                 Phase::Uncertain { since_ms } | Phase::Running { since_ms } => {
                     if sent_ms > since_ms {
@@ -281,7 +281,7 @@
                     }
                 }
                 Phase::Stopping { .. } if is_first_response => {
-                    self.end_never_started(name, key, now)
+                    self.end_never_started(name, key, now);
                 }
                 Phase::Stopping { .. } => {}
             }
--- a/lilacpass-lead/src/recording.rs
+++ b/lilacpass-lead/src/recording.rs
@@ -1,4 +1,4 @@
-//! What goes into the store, and what follows once it is stored.
+//! Appends to the store, and the actions that follow once they are stored.
 
 use lilacpass_jobs::{JobKey, record};
 
@@ -9,17 +9,17 @@
 };
 
 impl Leader {
-    /// The append under way is stored: does what waited for it.
+    /// Processes the success of the append in flight: carries out the actions that waited for it.
     pub(crate) fn on_appended(&mut self, now: Now) {
         self.leadership_confirmed_ms = self.leadership_confirmed_ms.max(self.append_sent_ms);
-        for after in self.outbox.append_stored() {
-            match after {
+        for action in self.outbox.append_stored() {
+            match action {
                 OnStored::Accept(request_id, key) => self.confirm_submission(request_id, key),
                 OnStored::Reply(request_id, response) => {
-                    self.effects.push(Effect::Reply { request_id, response })
+                    self.effects.push(Effect::Reply { request_id, response });
                 }
                 OnStored::SendStart { worker, task, run } => {
-                    self.send_start(&worker, task, run, now)
+                    self.send_start(&worker, task, run, now);
                 }
                 OnStored::ForgetEnds { worker, up_to } => {
                     if let Some(worker) = self.workers.get_mut(&worker) {
@@ -36,10 +36,10 @@
         }
     }
 
-    /// A worker has begun a task of a job.
+    /// Records that a worker has begun a task of a job.
     ///
-    /// Recorded beside other changes: a successor that can't reach the worker would else tell callers that
-    /// a job waits which they were told runs, until the worker answers.
+    /// The change is stored with the next append. Otherwise a successor that can't reach the worker would report the
+    /// job as waiting until the worker responds, although clients have been told that it runs.
     pub(crate) fn record_job_begun(&mut self, key: JobKey) {
         let Some(entry) = self.jobs.get_mut(&key) else { return };
         if entry.job.mark_started() {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Sends what has changed into the store, unless an append is under way.
+    /// Appends the pending changes to the store, unless an append is in flight.
     pub(crate) fn flush(&mut self, now: Now) {
         if !self.outbox.is_due(now.steady_ms) {
             return;
@@ -72,7 +72,7 @@
         }
         self.append_sent_ms = now.steady_ms;
         if records.is_empty() {
-            // Only what hangs on earlier changes waits, and those are stored.
+            // Only actions are pending, and the changes that they waited for are stored already.
             self.on_appended_nothing(now);
             return;
         }
--- a/lilacpass-lead/src/response_loss.rs
+++ b/lilacpass-lead/src/response_loss.rs
@@ -1,41 +1,41 @@
-//! Tells whether answers of workers get lost just now.
+//! Detects whether responses of workers are being lost.
 //!
-//! Load pattern: for some seconds one call in twenty gets no answer, though all workers live. An end of
-//! a task is then heard of when the look that waited for it is given up, 1.2 s later; of jobs with 16
-//! tasks most are hit. While this lasts, looks wait for less time, so that a lost one costs less.
+//! Load pattern: for some seconds one call in twenty gets no response although all workers are alive. The leader then
+//! learns of the end of a task only when the poll that waited for it times out, 1.2 s later. This affects most jobs
+//! of 16 tasks. While it lasts, polls wait for a shorter time, so that a lost response costs less.
 
 use std::collections::VecDeque;
 
-/// How far back lost answers count.
+/// Time for which a lost response counts.
 const WINDOW_MS: u64 = 2_000;
-/// Lost answers within that time that make short looks worth their cost. A single worker that was
-/// restarted or frozen brings one or two.
-const FEWEST: usize = 4;
+/// Lost responses within that time from which on shorter polls are worth their cost. A single worker that restarts or
+/// freezes accounts for one or two.
+const MIN_LOST_RESPONSES: usize = 4;
 
-/// Lost answers of late.
+/// Recent losses of responses.
 #[derive(Debug, Default)]
 pub struct ResponseLossMeter {
-    lost_ms: VecDeque<u64>,
+    lost_at_ms: VecDeque<u64>,
 }
 
 impl ResponseLossMeter {
-    /// A worker answers whose call before got no answer.
+    /// Records a lost response: a worker responds again whose previous poll got no response.
     pub fn record_lost_response(&mut self, now_ms: u64) {
-        if self.lost_ms.len() == FEWEST {
-            self.lost_ms.pop_front();
+        if self.lost_at_ms.len() == MIN_LOST_RESPONSES {
+            self.lost_at_ms.pop_front();
         }
-        self.lost_ms.push_back(now_ms);
+        self.lost_at_ms.push_back(now_ms);
     }
 
-    /// Forgets what was noted. For a leader that is late itself: answers waited in its own queue, and
-    /// more looks would make it later still, until no worker seems to answer.
+    /// Forgets all lost responses. For a leader that is late itself: the responses waited in its own queue, and more
+    /// polls would delay it further until no worker seems to respond.
     pub fn clear(&mut self) {
-        self.lost_ms.clear();
+        self.lost_at_ms.clear();
     }
 
-    /// Whether answers get lost.
+    /// Whether responses are being lost.
     pub fn is_lossy(&self, now_ms: u64) -> bool {
-        let first_ms = self.lost_ms.front().copied().unwrap_or(0);
-        self.lost_ms.len() == FEWEST && first_ms + WINDOW_MS > now_ms
+        let oldest_ms = self.lost_at_ms.front().copied().unwrap_or(0);
+        self.lost_at_ms.len() == MIN_LOST_RESPONSES && oldest_ms + WINDOW_MS > now_ms
     }
 }
--- a/lilacpass-lead/src/run_ends.rs
+++ b/lilacpass-lead/src/run_ends.rs
@@ -5,7 +5,7 @@
 use crate::{event::Now, leader::Leader, options::Mechanism, outbox::OnStored, worker::RunKey};
 
 impl Leader {
-    /// Takes note that a run has ended on a worker, and of what follows for its job.
+    /// Processes the end of a run on a worker, and what follows for its job.
     pub(crate) fn end_run(
         &mut self,
         worker_name: &WorkerName,
@@ -48,8 +48,8 @@
         self.reindex_step(task.step, now);
     }
 
-    /// Stops the other members of a gang whose run has lost one. They would wait for it in vain,
-    /// for seconds, and hold their room.
+    /// Stops the other members of a gang run that has lost a member. They would wait for it in vain for seconds, and
+    /// occupy capacity meanwhile.
     fn stop_gang_run(&mut self, lost: TaskName, run: u32, now: Now) {
         let Some(entry) = self.jobs.get(&lost.step.job) else { return };
         if !entry.job.step_plan(lost.step.step).gang {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// A job has come to its outcome: shows it once it is stored, and stops what still runs.
+    /// Processes the end of a job: makes its outcome visible once it is stored, and stops its remaining runs.
     pub(crate) fn on_job_ended(&mut self, key: JobKey, now: Now) {
         self.crash_affected_jobs.remove(&key);
         self.report_failure(key);
@@ -76,7 +76,7 @@
         self.release_steps(key);
     }
 
-    /// Forgets what was prepared for the steps of a job.
+    /// Drops the advice and the reservations of all steps of a job.
     pub(crate) fn release_steps(&mut self, key: JobKey) {
         let steps = self.jobs.get(&key).map(|entry| entry.job.step_names());
         for step in steps.into_iter().flatten() {
@@ -87,6 +87,7 @@
         }
     }
 
+    /// Drops the advice about a step, and the entries for it in the allowed steps of each worker.
     fn forget_advice(&mut self, step: StepName) {
         let Some(advice) = self.advice.remove(&step) else { return };
         for worker in advice.allowed() {
@@ -98,6 +99,7 @@
         }
     }
 
+    /// Stops all live runs of a job.
     pub(crate) fn stop_job(&mut self, key: JobKey, now: Now) {
         let live = self.jobs.get(&key).map(|entry| entry.job.live_runs()).unwrap_or_default();
         for (task, run) in live {
@@ -105,6 +107,7 @@
         }
     }
 
+    /// Stops the remaining runs of a task that is done.
     fn stop_copies(&mut self, task: TaskName, now: Now) {
         let runs = self
             .jobs
