--- a/lilacpass-lead/tests/world/cost.rs
+++ b/lilacpass-lead/tests/world/cost.rs
@@ -1,7 +1,8 @@
-//! A leader whose operations take made-up time, as those of an instance that is short of processor do.
+//! A leader whose operations take simulated time, like those of an instance that is short of processor time.
 //!
-//! The loop around it is that of an instance: it takes in all that has come, decides once, carries out what
-//! follows, and is late for all that comes meanwhile. Its next tick comes 50 ms after the last was taken in.
+//! Its event loop works like that of an instance: it processes all events that have arrived, decides once, carries out
+//! the effects, and is late for all events that arrive meanwhile. A tick follows 50 ms after the previous one was
+//! processed.
 
 use std::mem;
 
@@ -9,32 +10,32 @@
 
 use super::{Action, LeaderInstance, TICK_MS, World};
 
-/// What operations take, in microseconds of made-up time.
+/// Cost of each operation of a leader, in microseconds of simulated time.
 #[derive(Clone, Copy, Debug)]
 pub struct Costs {
-    /// Any event but those below.
+    /// Any event or effect other than those below.
     pub event_us: u64,
-    /// A look: half when it is sent, half when it is answered.
+    /// A poll: one half when it is sent, the other when its result is processed.
     pub poll_us: u64,
-    /// One step that is looked at for room, or for workers to ask about.
+    /// One step for which workers with free capacity, or workers to request advice about, are searched.
     pub step_us: u64,
-    /// A request of a caller, with its answer.
+    /// A client's request with its response.
     pub request_us: u64,
 }
 
-/// The loop around one leader.
+/// The event loop of a leader.
 #[derive(Debug, Default)]
-pub struct Loop {
-    /// What has come since it was last free.
+pub struct EventLoop {
+    /// Events that have arrived since the last round.
     pub inbox: Vec<Event>,
-    /// It will look into its inbox.
+    /// Whether the next round is scheduled.
     pub is_woken: bool,
-    /// Until when it is busy.
+    /// Until when it is busy with its last round.
     pub busy_until_us: u64,
 }
 
 impl Costs {
-    /// What it takes to take in an event.
+    /// The cost of processing an event.
     pub fn of_event(&self, event: &Event) -> u64 {
         match event {
             Event::Polled { .. } => self.poll_us / 2,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// What it takes to carry out an effect.
+    /// The cost of carrying out an effect.
     pub fn of_effect(&self, effect: &Effect) -> u64 {
         match effect {
             Effect::Poll { .. } => self.poll_us / 2,
@@ -52,66 +53,66 @@
         }
     }
 
-    /// What deciding has taken between two readings of what was done.
+    /// The cost of the scheduling work between two readings of its counter.
     pub fn of_work(&self, before: SchedulingWork, after: SchedulingWork) -> u64 {
         (after.steps_examined - before.steps_examined) * self.step_us
     }
 }
 
 impl World {
-    /// Has a member look into its inbox once it is free.
-    pub(super) fn wake(&mut self, member: usize) {
-        let turns = &mut self.instances[member].event_loop;
-        if mem::replace(&mut turns.is_woken, true) {
+    /// Schedules the next round of an instance for when it is free.
+    pub(super) fn wake(&mut self, instance: usize) {
+        let event_loop = &mut self.instances[instance].event_loop;
+        if mem::replace(&mut event_loop.is_woken, true) {
             return;
         }
-        let free_ms = turns.busy_until_us.div_ceil(1_000);
-        self.plan(free_ms.saturating_sub(self.now_ms), Action::Round { member });
+        let free_ms = event_loop.busy_until_us.div_ceil(1_000);
+        self.schedule(free_ms.saturating_sub(self.now_ms), Action::RunRound { instance });
     }
 
-    /// A member takes in all that has come, and decides; both take time.
-    pub(super) fn run_round(&mut self, member: usize) {
+    /// Processes all events that have arrived and decides, both at a cost.
+    pub(super) fn run_round(&mut self, instance: usize) {
         let Some(costs) = self.costs else { return };
         let now = self.now();
-        let LeaderInstance { leader, event_loop: turns, .. } = &mut self.instances[member];
-        turns.is_woken = false;
+        let LeaderInstance { leader, event_loop, .. } = &mut self.instances[instance];
+        event_loop.is_woken = false;
         let before = leader.work();
         let mut cost_us = 0;
-        let mut ticks = false;
-        for event in mem::take(&mut turns.inbox) {
+        let mut has_tick = false;
+        for event in mem::take(&mut event_loop.inbox) {
             cost_us += costs.of_event(&event);
-            ticks |= event == Event::Tick;
+            has_tick |= event == Event::Tick;
             leader.handle(event, now);
         }
         let effects = leader.finish(now);
         cost_us += costs.of_work(before, leader.work());
         cost_us += effects.iter().map(|effect| costs.of_effect(effect)).sum::<u64>();
-        turns.busy_until_us = turns.busy_until_us.max(self.now_ms * 1_000) + cost_us;
+        event_loop.busy_until_us = event_loop.busy_until_us.max(self.now_ms * 1_000) + cost_us;
         let cost_ms = cost_us / 1_000;
         let has_more = leader.has_more();
-        if ticks {
-            self.plan(TICK_MS, Action::Tick { member });
+        if has_tick {
+            self.schedule(TICK_MS, Action::Tick { instance });
         }
         for effect in effects {
-            self.send(member, effect, cost_ms);
+            self.send(instance, effect, cost_ms);
         }
         if has_more {
-            self.wake(member);
+            self.wake(instance);
         }
     }
 
-    /// A look that waited is answered with what there is now.
+    /// Answers a poll that has waited with the present state of the worker.
     pub(super) fn answer_waiting_poll(
         &mut self,
-        member: usize,
-        at: usize,
+        instance: usize,
+        worker_index: usize,
         effect: &Effect,
         sent_ms: u64,
     ) {
         let Effect::Poll { worker, forget_up_to, extra, .. } = effect else { return };
-        let epoch = self.instances[member].epoch;
-        let result = self.workers[at].poll(epoch, None, *forget_up_to);
+        let epoch = self.instances[instance].epoch;
+        let result = self.workers[worker_index].poll(epoch, None, *forget_up_to);
         let event = Event::Polled { worker: worker.clone(), sent_ms, extra: *extra, result };
-        self.plan(1, Action::Deliver { member, event });
+        self.schedule(1, Action::Deliver { instance, event });
     }
 }
--- a/lilacpass-lead/tests/world/mod.rs
+++ b/lilacpass-lead/tests/world/mod.rs
@@ -1,9 +1,9 @@
-//! A small cell under made-up time: leaders, a store and workers, with faults switched on by calls.
+//! A simulated cell: leader instances, a store and workers in simulated time, with faults that tests switch on.
 //!
-//! Each start of a run is judged as it happens: no worker above its capacity, no task in two places but
-//! where copies may run, none after it was done and that was noted, none before the steps that it waits
-//! for, none too often after it has crashed workers. Each answer about jobs that wait or run is judged by
-//! what workers have begun.
+//! Each start of a run is checked as it happens. No worker exceeds its capacity; no task runs in two places unless it
+//! may have copies; none starts again after its end was stored, before the steps that it waits for are done, or too
+//! often after it has crashed workers. Each response about waiting or running jobs is checked against the tasks that
+//! workers have begun.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -28,7 +28,7 @@
 };
 use lilacpass_schema::v1;
 
-use cost::{Costs, Loop};
+use cost::{Costs, EventLoop};
 use crashes::Crashes;
 use requests::Requests;
 use store::Store;
@@ -36,22 +36,22 @@
 
 /// Time of day at the start, in milliseconds since 1970.
 const DAY_MS: u64 = 1_800_000_000_000;
-/// How long a call without an answer takes to fail.
+/// Time after which a call without a response fails.
 const CALL_TIMEOUT_MS: u64 = 600;
-/// The latest that an order without an answer is carried out.
-const LATEST_MS: u64 = 12_000;
-/// The shortest time of a call for advice.
-const LEAST_ADVICE_MS: u64 = 40;
-/// Time between two registrations of a worker.
+/// Maximum delay of an order that gets no response but is carried out late.
+const MAX_ORDER_DELAY_MS: u64 = 12_000;
+/// Minimum time of a request for advice.
+const MIN_ADVICE_MS: u64 = 40;
+/// Interval between two registrations of a worker.
 const HEARTBEAT_MS: u64 = 1_500;
-/// Time between ticks of a leader.
+/// Interval between two ticks of a leader.
 const TICK_MS: u64 = 50;
 
-/// Numbers at random, the same for the same seed.
+/// A random number generator whose numbers depend on its seed alone.
 pub struct Random(pub u64);
 
 impl Random {
-    /// A number from 0 to below `below`.
+    /// Returns a number from 0 up to, but not including, `below`.
     pub fn below(&mut self, below: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -59,43 +59,43 @@
         self.0 % below.max(1)
     }
 
-    /// True in so many of a hundred cases.
+    /// Returns true with a probability of `percent` in a hundred.
     pub fn percent(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
 }
 
-/// One leader, in force or not.
+/// An instance that leads, or has led until another one took over.
 pub struct LeaderInstance {
     pub leader: Leader,
     pub epoch: u64,
     pub alive: bool,
     pub paused_until_ms: u64,
     next_sequence: u64,
-    event_loop: Loop,
+    event_loop: EventLoop,
 }
 
 #[derive(Debug)]
 enum Action {
-    /// An effect arrives at its receiver.
-    Arrive { member: usize, effect: Effect, answered: bool },
-    /// An event reaches a leader.
-    Deliver { member: usize, event: Event },
-    /// A leader ticks.
-    Tick { member: usize },
-    /// A member sends its renewal.
-    Renew { member: usize },
-    /// A member whose operations take time is free again.
-    Round { member: usize },
-    /// A look that waited for an end is answered.
-    PollEnds { member: usize, at: usize, effect: Effect, sent_ms: u64 },
-    /// A task crashes the worker that started it.
+    /// An effect is carried out by its receiver.
+    CarryOut { instance: usize, effect: Effect, is_answered: bool },
+    /// A leader receives an event.
+    Deliver { instance: usize, event: Event },
+    /// A leader receives a tick.
+    Tick { instance: usize },
+    /// An instance asks the store to confirm its leadership.
+    Renew { instance: usize },
+    /// An instance with operation costs is free for its next round.
+    RunRound { instance: usize },
+    /// A worker answers a poll that has waited for the end of a run.
+    PollEnds { instance: usize, worker_index: usize, effect: Effect, sent_ms: u64 },
+    /// A task crashes the worker on which it was started.
     Crash { worker: WorkerName, task: TaskName },
-    /// A worker that crashed is back as another.
-    Return { at: usize },
+    /// A crashed worker is back under a new name.
+    ReturnWorker { worker_index: usize },
 }
 
-/// The cell.
+/// The simulated cell.
 pub struct World {
     pub now_ms: u64,
     pub random: Random,
@@ -103,20 +103,20 @@
     pub workers: Vec<Worker>,
     pub instances: Vec<LeaderInstance>,
     pub responses: Vec<(RequestId, Response)>,
-    /// What was asked, and what workers have begun.
+    /// The requests sent to leaders, and the jobs that workers have begun.
     pub requests: Requests,
-    /// Tasks that crash their workers.
+    /// Tasks that crash their workers, and the crashes so far.
     pub crashes: Crashes,
-    /// Calls for advice: the step, and how many workers were named.
+    /// Requests for advice: the step, and the number of workers named.
     pub advice_calls: Vec<(StepName, usize)>,
-    /// Share of orders, in percent, that get no answer and may be carried out late.
+    /// Percentage of orders that get no response and may be carried out late.
     pub lost_order_percent: u64,
     pub options: Options,
-    /// When each request was answered.
+    /// When each request got its response, by the number of the request.
     pub responded_ms: BTreeMap<u64, u64>,
-    /// What the operations of a leader take; none where they take no time.
+    /// Costs of a leader's operations; `None` if they take no time.
     pub costs: Option<Costs>,
-    /// Of all that leaders asked for, and when.
+    /// Hash of all effects of all leaders, with their times.
     effects: DefaultHasher,
     actions: EventQueue<Action>,
     next_request_id: u64,
@@ -125,7 +125,7 @@
 impl World {
     pub fn new(seed: u64, workers: usize, capacity: Resources) -> Self {
         let workers = (0..workers).map(|n| Worker::new(n, capacity)).collect();
-        // With RUST_LOG set, the log lines of a play show what led to its end.
+        // With RUST_LOG set, the log of a test run shows how it failed.
         let _already = env_logger::builder().is_test(true).try_init();
         let mut world = Self {
             now_ms: 1_000,
@@ -153,12 +153,12 @@
         Now { steady_ms: self.now_ms, unix_ms: DAY_MS + self.now_ms }
     }
 
-    /// The member that the store lets write.
+    /// The instance that took over last, from which the store accepts records.
     pub fn current_instance(&mut self) -> &mut LeaderInstance {
-        self.instances.last_mut().expect("a member leads")
+        self.instances.last_mut().expect("an instance leads")
     }
 
-    /// Another member takes over, whether the former one lives or not.
+    /// Another instance takes over, whether the former leader is alive or not.
     pub fn take_over(&mut self) {
         let epoch = self.store.close();
         let jobs = self.store.jobs();
@@ -169,54 +169,57 @@
             alive: true,
             paused_until_ms: 0,
             next_sequence: 1,
-            event_loop: Loop::default(),
+            event_loop: EventLoop::default(),
         });
-        let member = self.instances.len() - 1;
-        self.plan(0, Action::Tick { member });
-        self.plan(1, Action::Renew { member });
-        self.list_workers(member);
-        self.deliver(member, Event::Lanes(vec![Lane("a".to_owned()), Lane("b".to_owned())]));
+        let instance = self.instances.len() - 1;
+        self.schedule(0, Action::Tick { instance });
+        self.schedule(1, Action::Renew { instance });
+        self.send_registrations(instance);
+        self.deliver(instance, Event::Lanes(vec![Lane("a".to_owned()), Lane("b".to_owned())]));
     }
 
-    fn list_workers(&mut self, member: usize) {
+    fn send_registrations(&mut self, instance: usize) {
         let now_ms = self.now_ms;
-        let is_listed = |w: &&Worker| w.alive && w.registered || now_ms < w.stale_until_ms;
-        let entries: Vec<Registration> =
-            self.workers.iter().filter(is_listed).map(Worker::registration).collect();
-        for entry in entries {
-            self.deliver(member, Event::WorkerRegistered(entry));
+        let is_registered = |w: &&Worker| w.alive && w.registered || now_ms < w.stale_until_ms;
+        let registrations: Vec<Registration> =
+            self.workers.iter().filter(is_registered).map(Worker::registration).collect();
+        for registration in registrations {
+            self.deliver(instance, Event::WorkerRegistered(registration));
         }
     }
 
-    /// A worker has another room from now on, and says so with its next heartbeat.
-    pub fn set_capacity(&mut self, at: usize, capacity: Resources) {
+    /// Changes the capacity of a worker. The leader learns of it with the worker's next heartbeat.
+    pub fn set_capacity(&mut self, worker_index: usize, capacity: Resources) {
         let now_ms = self.now_ms;
-        let worker = &mut self.workers[at];
+        let worker = &mut self.workers[worker_index];
         worker.set_capacity(capacity, now_ms);
         if !worker.alive {
             return;
         }
-        let entry = worker.registration();
-        let member = self.instances.len() - 1;
-        self.plan(HEARTBEAT_MS, Action::Deliver { member, event: Event::WorkerRegistered(entry) });
+        let registration = worker.registration();
+        let instance = self.instances.len() - 1;
+        self.schedule(
+            HEARTBEAT_MS,
+            Action::Deliver { instance, event: Event::WorkerRegistered(registration) },
+        );
     }
 
-    /// The store drops the registration of a worker that it has not heard of.
-    pub fn unregister(&mut self, at: usize) {
-        let member = self.instances.len() - 1;
-        self.deliver(member, Event::WorkerUnregistered(self.workers[at].name.clone()));
+    /// Removes the registration of a worker from the store.
+    pub fn unregister(&mut self, worker_index: usize) {
+        let instance = self.instances.len() - 1;
+        self.deliver(instance, Event::WorkerUnregistered(self.workers[worker_index].name.clone()));
     }
 
-    /// Sets how many instances can call for advice.
+    /// Sets the number of instances that can request advice.
     pub fn set_lanes(&mut self, count: usize) {
-        let member = self.instances.len() - 1;
+        let instance = self.instances.len() - 1;
         let lanes = (0..count).map(|lane| Lane(format!("lane-{lane:02}"))).collect();
-        self.deliver(member, Event::Lanes(lanes));
+        self.deliver(instance, Event::Lanes(lanes));
     }
 
-    /// A new worker comes at the address of one that crashed.
+    /// Registers a new worker at the address of one that has crashed.
     pub fn replace_worker(&mut self, index: usize) {
-        // As good for advice as the old one, so that some worker is allowed for each step.
+        // Its number has the same parity as the old one's, so that some worker stays allowed for each step.
         let count = self.workers.len();
         let old = &mut self.workers[index];
         let number = 2 * count + old.number % 2;
@@ -224,17 +227,17 @@
         let mut new = Worker::new(number, old.capacity);
         new.address = old.address.clone();
         self.workers.push(new);
-        let member = self.instances.len() - 1;
-        self.list_workers(member);
+        let instance = self.instances.len() - 1;
+        self.send_registrations(instance);
     }
 
-    /// Asks the leader, and returns the token of the answer.
+    /// Sends a request to the leader, and returns its id.
     pub fn request(&mut self, request: Request) -> RequestId {
         let request_id = RequestId(self.next_request_id);
         self.next_request_id += 1;
-        let member = self.instances.len() - 1;
+        let instance = self.instances.len() - 1;
         self.requests.record(request_id, &request);
-        self.deliver(member, Event::Request { request_id, request });
+        self.deliver(instance, Event::Request { request_id, request });
         request_id
     }
 
@@ -243,15 +246,15 @@
     }
 
     pub fn response(&self, request_id: RequestId) -> Option<&Response> {
-        self.responses.iter().find(|(t, _)| *t == request_id).map(|(_, answer)| answer)
+        self.responses.iter().find(|(t, _)| *t == request_id).map(|(_, response)| response)
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time, and carries out what is scheduled meanwhile.
     pub fn run(&mut self, for_ms: u64) {
         let end_ms = self.now_ms + for_ms;
         while let Some((at_ms, action)) = self.actions.pop_until(end_ms) {
             self.advance(at_ms);
-            self.act(action);
+            self.run_action(action);
         }
         self.advance(end_ms);
     }
@@ -264,100 +267,102 @@
         }
     }
 
-    fn plan(&mut self, after_ms: u64, action: Action) {
+    fn schedule(&mut self, after_ms: u64, action: Action) {
         self.actions.schedule(self.now_ms + after_ms, action);
     }
 
-    fn act(&mut self, action: Action) {
+    fn run_action(&mut self, action: Action) {
         log::trace!("{} {action:?}", self.now_ms);
         match action {
-            Action::Deliver { member, event } => self.deliver(member, event),
-            Action::Tick { member } => {
-                if self.instances[member].alive {
+            Action::Deliver { instance, event } => self.deliver(instance, event),
+            Action::Tick { instance } => {
+                if self.instances[instance].alive {
                     if self.costs.is_none() {
-                        self.plan(TICK_MS, Action::Tick { member });
+                        self.schedule(TICK_MS, Action::Tick { instance });
                     }
-                    self.deliver(member, Event::Tick);
-                    self.deliver(member, Event::RegistrationsRead);
+                    self.deliver(instance, Event::Tick);
+                    self.deliver(instance, Event::RegistrationsRead);
                 }
             }
-            Action::Renew { member } => {
-                if !self.instances[member].alive {
+            Action::Renew { instance } => {
+                if !self.instances[instance].alive {
                     return;
                 }
-                self.plan(300, Action::Renew { member });
+                self.schedule(300, Action::Renew { instance });
                 let sent_ms = self.now_ms;
-                let in_force = self.instances[member].epoch == self.store.epoch;
-                if in_force && !self.store.down && !self.is_paused(member) {
-                    self.deliver(member, Event::LeadershipConfirmed { sent_ms });
+                let in_force = self.instances[instance].epoch == self.store.epoch;
+                if in_force && !self.store.down && !self.is_paused(instance) {
+                    self.deliver(instance, Event::LeadershipConfirmed { sent_ms });
                 }
             }
-            Action::Arrive { member, effect, answered } => self.carry_out(member, effect, answered),
-            Action::Round { member } => self.run_round(member),
-            Action::PollEnds { member, at, effect, sent_ms } => {
-                self.answer_waiting_poll(member, at, &effect, sent_ms);
+            Action::CarryOut { instance, effect, is_answered } => {
+                self.carry_out(instance, effect, is_answered)
+            }
+            Action::RunRound { instance } => self.run_round(instance),
+            Action::PollEnds { instance, worker_index, effect, sent_ms } => {
+                self.answer_waiting_poll(instance, worker_index, &effect, sent_ms);
             }
             Action::Crash { worker, task } => self.crash_under(&worker, task),
-            Action::Return { at } => self.replace_worker(at),
+            Action::ReturnWorker { worker_index } => self.replace_worker(worker_index),
         }
     }
 
-    fn is_paused(&self, member: usize) -> bool {
-        self.instances[member].paused_until_ms > self.now_ms
+    fn is_paused(&self, instance: usize) -> bool {
+        self.instances[instance].paused_until_ms > self.now_ms
     }
 
-    fn deliver(&mut self, member: usize, event: Event) {
-        if !self.instances[member].alive {
+    fn deliver(&mut self, instance: usize, event: Event) {
+        if !self.instances[instance].alive {
             return;
         }
-        if self.is_paused(member) {
-            let after_ms = self.instances[member].paused_until_ms - self.now_ms;
-            return self.plan(after_ms, Action::Deliver { member, event });
+        if self.is_paused(instance) {
+            let after_ms = self.instances[instance].paused_until_ms - self.now_ms;
+            return self.schedule(after_ms, Action::Deliver { instance, event });
         }
         if self.costs.is_some() {
-            self.instances[member].event_loop.inbox.push(event);
-            return self.wake(member);
+            self.instances[instance].event_loop.inbox.push(event);
+            return self.wake(instance);
         }
         let now = self.now();
-        let leader = &mut self.instances[member].leader;
+        let leader = &mut self.instances[instance].leader;
         leader.handle(event, now);
         for effect in leader.finish(now) {
-            (self.now_ms, member, format!("{effect:?}")).hash(&mut self.effects);
-            self.send(member, effect, 0);
+            (self.now_ms, instance, format!("{effect:?}")).hash(&mut self.effects);
+            self.send(instance, effect, 0);
         }
     }
 
-    /// The same for plays in which all leaders asked for the same at the same times.
+    /// A hash of the effects of all leaders. It is equal for two simulations with the same decisions at the same times.
     pub fn digest(&self) -> u64 {
         self.effects.finish()
     }
 
-    /// An effect leaves its leader.
-    fn send(&mut self, member: usize, effect: Effect, after_ms: u64) {
+    /// Sends an effect to its receiver, or loses it.
+    fn send(&mut self, instance: usize, effect: Effect, after_ms: u64) {
         let delay_ms = 1 + self.random.below(4) + after_ms;
         let is_order =
             matches!(effect, Effect::Start { .. } | Effect::Stop { .. } | Effect::Poll { .. });
         if is_order && self.random.percent(self.lost_order_percent) {
-            // No answer; perhaps carried out, perhaps late.
-            self.fail(member, &effect);
+            // The order gets no response. It may be carried out late.
+            self.schedule_failure(instance, &effect);
             if self.random.percent(70) {
-                let late_ms = self.random.below(LATEST_MS);
-                self.plan(late_ms, Action::Arrive { member, effect, answered: false });
+                let late_ms = self.random.below(MAX_ORDER_DELAY_MS);
+                self.schedule(late_ms, Action::CarryOut { instance, effect, is_answered: false });
             }
             return;
         }
-        self.plan(delay_ms, Action::Arrive { member, effect, answered: true });
+        self.schedule(delay_ms, Action::CarryOut { instance, effect, is_answered: true });
     }
 
-    fn fail(&mut self, member: usize, effect: &Effect) {
+    fn schedule_failure(&mut self, instance: usize, effect: &Effect) {
         let error = CallError::Failed(Verdict::MayHaveRun);
-        if let Some(event) = self.outcome(effect, Err(error)) {
-            self.plan(CALL_TIMEOUT_MS, Action::Deliver { member, event });
+        if let Some(event) = self.result_event(effect, Err(error)) {
+            self.schedule(CALL_TIMEOUT_MS, Action::Deliver { instance, event });
         }
     }
 
-    /// The event by which a leader hears of the end of an order.
-    fn outcome(&self, effect: &Effect, result: Result<(), CallError>) -> Option<Event> {
+    /// The event that reports the result of an order to its leader.
+    fn result_event(&self, effect: &Effect, result: Result<(), CallError>) -> Option<Event> {
         Some(match effect {
             Effect::Start { worker, task, run, .. } => {
                 Event::Started { worker: worker.clone(), task: *task, run: *run, result }
@@ -375,16 +380,16 @@
         })
     }
 
-    fn carry_out(&mut self, member: usize, effect: Effect, answered: bool) {
+    fn carry_out(&mut self, instance: usize, effect: Effect, is_answered: bool) {
         match effect {
             Effect::Reply { request_id, response } => {
-                if member + 1 == self.instances.len() {
+                if instance + 1 == self.instances.len() {
                     self.requests.check(request_id, &response, &self.store);
                 }
                 self.responded_ms.insert(request_id.0, self.now_ms);
                 self.responses.push((request_id, response));
             }
-            Effect::Append(records) => self.append(member, &records),
+            Effect::Append(records) => self.append(instance, &records),
             Effect::RequestAdvice { lane, step, workers, expected_ms } => {
                 self.advice_calls.push((step, workers.len()));
                 let good = workers
@@ -394,43 +399,44 @@
                     .collect();
                 let advice = Some(Advice { good, valid_ms: 2_500 });
                 let event = Event::AdviceReceived { lane, step, asked: workers, advice };
-                self.plan(expected_ms.max(LEAST_ADVICE_MS), Action::Deliver { member, event });
+                self.schedule(expected_ms.max(MIN_ADVICE_MS), Action::Deliver { instance, event });
             }
-            Effect::Deposed => self.instances[member].alive = false,
-            order => self.order_arrives(member, &order, answered),
+            Effect::Deposed => self.instances[instance].alive = false,
+            order => self.carry_out_order(instance, &order, is_answered),
         }
     }
 
-    fn append(&mut self, member: usize, records: &[Record]) {
+    fn append(&mut self, instance: usize, records: &[Record]) {
         if self.store.down {
             let event = Event::NotAppended;
-            return self.plan(2, Action::Deliver { member, event });
+            return self.schedule(2, Action::Deliver { instance, event });
         }
-        let LeaderInstance { epoch, next_sequence, .. } = self.instances[member];
+        let LeaderInstance { epoch, next_sequence, .. } = self.instances[instance];
         if !self.store.append(epoch, records) {
-            self.instances[member].alive = false;
+            self.instances[instance].alive = false;
             return;
         }
-        self.instances[member].next_sequence = next_sequence + 1;
-        self.plan(5, Action::Deliver { member, event: Event::Appended });
+        self.instances[instance].next_sequence = next_sequence + 1;
+        self.schedule(5, Action::Deliver { instance, event: Event::Appended });
     }
 
-    fn order_arrives(&mut self, member: usize, effect: &Effect, answered: bool) {
+    fn carry_out_order(&mut self, instance: usize, effect: &Effect, is_answered: bool) {
         let (name, address) = match effect {
             Effect::Start { worker, address, .. }
             | Effect::Stop { worker, address, .. }
             | Effect::Poll { worker, address, .. } => (worker.clone(), address.clone()),
             _ => return,
         };
-        let at = self.workers.iter().position(|w| w.alive && w.address == address);
-        let reachable = at.filter(|&at| !self.workers[at].unreachable);
-        let Some(at) = reachable else {
-            if answered {
-                self.fail(member, effect);
+        let worker_index = self.workers.iter().position(|w| w.alive && w.address == address);
+        let reachable =
+            worker_index.filter(|&worker_index| !self.workers[worker_index].unreachable);
+        let Some(worker_index) = reachable else {
+            if is_answered {
+                self.schedule_failure(instance, effect);
             }
             return;
         };
-        if self.workers[at].name != name {
+        if self.workers[worker_index].name != name {
             let event = match effect {
                 Effect::Poll { extra, .. } => Some(Event::Polled {
                     worker: name,
@@ -438,22 +444,22 @@
                     extra: *extra,
                     result: Err(CallError::OtherLife),
                 }),
-                other => self.outcome(other, Err(CallError::OtherLife)),
+                other => self.result_event(other, Err(CallError::OtherLife)),
             };
-            return self.send_order_result(member, event, answered);
+            return self.send_order_result(instance, event, is_answered);
         }
-        let epoch = self.instances[member].epoch;
+        let epoch = self.instances[instance].epoch;
         let now_ms = self.now_ms;
         let event = match effect {
             Effect::Poll { worker, lease_until_ms, forget_up_to, wait_ms, extra, .. } => {
-                let result = self.workers[at].poll(epoch, *lease_until_ms, *forget_up_to);
+                let result = self.workers[worker_index].poll(epoch, *lease_until_ms, *forget_up_to);
                 if self.costs.is_some() && result.is_ok() {
-                    let wait_ms = self.workers[at].next_end_ms(*wait_ms, now_ms);
+                    let wait_ms = self.workers[worker_index].next_end_ms(*wait_ms, now_ms);
                     let effect = effect.clone();
-                    let ends = Action::PollEnds { member, at, effect, sent_ms: now_ms };
-                    return self.plan(wait_ms, ends);
+                    let ends = Action::PollEnds { instance, worker_index, effect, sent_ms: now_ms };
+                    return self.schedule(wait_ms, ends);
                 }
-                // A waiting look is answered when something ends; here, after part of the wait.
+                // A poll is answered when a run ends. Without operation costs, this is after part of its wait.
                 let wait_ms = (*wait_ms).min(100);
                 let event = Event::Polled {
                     worker: worker.clone(),
@@ -461,77 +467,77 @@
                     extra: *extra,
                     result,
                 };
-                if answered {
-                    self.plan(1 + wait_ms, Action::Deliver { member, event });
+                if is_answered {
+                    self.schedule(1 + wait_ms, Action::Deliver { instance, event });
                 }
                 return;
             }
             Effect::Start { task, run, lease_until_ms, .. } => {
-                let result = self.start(at, *task, *run, epoch, *lease_until_ms);
-                self.outcome(effect, result)
+                let result = self.start(worker_index, *task, *run, epoch, *lease_until_ms);
+                self.result_event(effect, result)
             }
             Effect::Stop { task, run, .. } => {
-                let result = self.workers[at].stop(*task, *run, epoch, now_ms);
-                self.outcome(effect, result)
+                let result = self.workers[worker_index].stop(*task, *run, epoch, now_ms);
+                self.result_event(effect, result)
             }
             _ => None,
         };
-        self.send_order_result(member, event, answered);
+        self.send_order_result(instance, event, is_answered);
     }
 
-    fn send_order_result(&mut self, member: usize, event: Option<Event>, answered: bool) {
-        if let Some(event) = event.filter(|_| answered) {
+    fn send_order_result(&mut self, instance: usize, event: Option<Event>, is_answered: bool) {
+        if let Some(event) = event.filter(|_| is_answered) {
             let delay_ms = 1 + self.random.below(4);
-            self.plan(delay_ms, Action::Deliver { member, event });
+            self.schedule(delay_ms, Action::Deliver { instance, event });
         }
     }
 
     fn start(
         &mut self,
-        at: usize,
+        worker_index: usize,
         task: TaskName,
         run: u32,
         epoch: u64,
         lease_until_ms: u64,
     ) -> Result<(), CallError> {
-        self.workers[at].accepts(task, run, epoch, lease_until_ms)?;
-        if self.workers[at].runs.contains_key(&task) {
+        self.workers[worker_index].accepts(task, run, epoch, lease_until_ms)?;
+        if self.workers[worker_index].runs.contains_key(&task) {
             return Ok(());
         }
         let job = self.store.job(task.step.job).expect("a task of a stored job");
-        self.check_start(at, task, &job);
+        self.check_start(worker_index, task, &job);
         self.requests.begun.insert(job.key);
         let plan = job.step_plan(task.step.step);
         let work_ms = u64::from(plan.estimate_ms).max(1);
-        let fails = self.random.percent(3) || self.workers[at].fails_all_runs;
+        let fails = self.random.percent(3) || self.workers[worker_index].fails_all_runs;
         let need = lilacpass_lead::place::need(plan);
         let now_ms = self.now_ms;
-        self.workers[at].begin(task, run, need, now_ms + work_ms, fails, plan.lasting);
-        self.schedule_crash(at, task);
+        self.workers[worker_index].begin(task, run, need, now_ms + work_ms, fails, plan.lasting);
+        self.schedule_crash(worker_index, task);
         Ok(())
     }
 
-    /// What must hold at each start.
-    fn check_start(&self, at: usize, task: TaskName, job: &Job) {
+    /// Checks what must hold at each start.
+    fn check_start(&self, worker_index: usize, task: TaskName, job: &Job) {
         let plan = job.step_plan(task.step.step);
         for worker in self.workers.iter().filter(|worker| worker.alive) {
             assert!(
                 plan.speculative || !worker.runs.contains_key(&task),
                 "{task} starts on {} while it runs on {}",
-                self.workers[at].name,
+                self.workers[worker_index].name,
                 worker.name
             );
             assert!(
-                !worker.recorded_done.contains(&task),
-                "{task} starts again after it was done and that was noted"
+                !worker.stored_done.contains(&task),
+                "{task} starts again after its end was stored"
             );
         }
         let need = lilacpass_lead::place::need(plan);
-        let used = self.workers[at].used().plus(&need);
+        let used = self.workers[worker_index].used().plus(&need);
         assert!(
-            used.fits(&self.workers[at].limit(self.now_ms)),
+            used.fits(&self.workers[worker_index].limit(self.now_ms)),
             "{task} brings {} over its capacity: {used}",
-            self.workers[at].name
+            self.workers[worker_index].name
         );
         for &earlier in &plan.after {
             let step = StepName { step: earlier, ..task.step };
@@ -544,7 +550,7 @@
     }
 }
 
-/// Workers with an even number may run what needs advice.
+/// Whether a worker may run steps that need advice: those with an even number may.
 fn is_good(worker: &WorkerName) -> bool {
     worker
         .as_str()
@@ -553,7 +559,7 @@
         .is_some_and(|b| b.is_ascii_digit() && (b - b'0').is_multiple_of(2))
 }
 
-/// A plan of steps, each after the one before.
+/// A plan of steps that run one after the other.
 pub fn plan(steps: &[v1::WorkStep]) -> v1::WorkPlan {
     let steps = steps
         .iter()
@@ -566,12 +572,12 @@
     v1::WorkPlan { payload: "do".to_owned(), steps, ..Default::default() }
 }
 
-/// A step of `count` tasks that take `cpu_milli` for `estimate_ms`.
+/// A step of `count` tasks, each of which uses `cpu_milli` for `estimate_ms`.
 pub fn step(count: u32, cpu_milli: u32, estimate_ms: u32) -> v1::WorkStep {
     v1::WorkStep { count, cpu_milli, memory_mb: 10, estimate_ms, ..Default::default() }
 }
 
-/// A queue without advice.
+/// A queue whose steps need no advice.
 pub fn queue(name: &str, priority: u32) -> v1::QueuePolicy {
     v1::QueuePolicy {
         name: name.to_owned(),
@@ -584,7 +590,7 @@
     }
 }
 
-/// The key of a record of a job, for tests that read the store.
+/// The key of a job's state record, for tests that read the store.
 pub fn state_key(key: u64) -> String {
     record::state_key(JobKey(key))
 }
--- a/lilacpass-lead/tests/world/requests.rs
+++ b/lilacpass-lead/tests/world/requests.rs
@@ -1,4 +1,4 @@
-//! Judges what the leader says of jobs that wait or run by what workers have begun.
+//! Checks the leader's responses about waiting and running jobs against what workers have begun.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,52 +7,56 @@
 
 use crate::world::store::Store;
 
-/// What was asked, and what workers have begun.
+/// The requests sent to leaders, and the jobs that workers have begun.
 #[derive(Default)]
 pub struct Requests {
     /// Jobs of which a worker has begun a task.
     pub begun: BTreeSet<JobKey>,
     sent: BTreeMap<u64, Request>,
-    /// Jobs whose callers were told that they are accepted, with their queues.
+    /// Jobs whose clients were told that they are accepted, with their queues.
     accepted: BTreeMap<JobKey, String>,
-    /// Jobs that must be counted if they still wait, by the request for the count.
+    /// Jobs that a count of pending jobs must include if they still wait, by the id of the request.
     expected_pending: BTreeMap<u64, Vec<JobKey>>,
     cancelled: BTreeSet<JobKey>,
 }
 
 impl Requests {
-    /// Notes a request that goes to the leader.
+    /// Records a request that is sent to the leader.
     pub fn record(&mut self, request_id: RequestId, request: &Request) {
         if let Request::Cancel(job) = request {
             self.cancelled.insert(*job);
         }
         if let Request::Pending { queue } = request {
-            let of_queue = self.accepted.iter().filter(|(_, of)| *of == queue);
-            self.expected_pending.insert(request_id.0, of_queue.map(|(job, _)| *job).collect());
+            let accepted_jobs = self.accepted.iter().filter(|(_, of)| *of == queue);
+            self.expected_pending
+                .insert(request_id.0, accepted_jobs.map(|(job, _)| *job).collect());
         }
         self.sent.insert(request_id.0, request.clone());
     }
 
-    /// What must hold for an answer of the leader in force.
-    pub fn check(&mut self, request_id: RequestId, answer: &Response, store: &Store) {
-        match (&self.sent[&request_id.0], answer) {
+    /// Checks a response of the current leader.
+    pub fn check(&mut self, request_id: RequestId, response: &Response, store: &Store) {
+        match (&self.sent[&request_id.0], response) {
             (Request::Submit { job, queue, .. }, Response::Done) => {
                 self.accepted.insert(*job, queue.name.clone());
             }
             (Request::State(job), Response::State(JobState::Running)) => {
-                assert!(self.begun.contains(job), "{job} is said to run; no worker has begun it");
+                assert!(
+                    self.begun.contains(job),
+                    "{job} is reported as running, but no worker has begun it"
+                );
             }
-            (Request::Pending { queue }, Response::Pending(told)) => {
-                let waits = |job: &&JobKey| {
+            (Request::Pending { queue }, Response::Pending(reported)) => {
+                let is_waiting = |job: &&JobKey| {
                     !self.begun.contains(job)
                         && !self.cancelled.contains(job)
                         && store.job(**job).is_some_and(|job| job.outcome == Outcome::Open)
                 };
                 let waiting: Vec<&JobKey> =
-                    self.expected_pending[&request_id.0].iter().filter(waits).collect();
+                    self.expected_pending[&request_id.0].iter().filter(is_waiting).collect();
                 assert!(
-                    *told >= waiting.len() as u64,
-                    "{told} jobs of {queue} are said to wait; {waiting:?} do"
+                    *reported >= waiting.len() as u64,
+                    "{reported} jobs of {queue} are reported as waiting, but {waiting:?} wait"
                 );
             }
             _ => {}
--- a/lilacpass-lead/tests/world/store.rs
+++ b/lilacpass-lead/tests/world/store.rs
@@ -1,4 +1,4 @@
-//! A store that keeps the newest record of each key and refuses writers of lower epochs.
+//! A simulated store that keeps the last record of each key and refuses writers of lower epochs.
 
 use std::collections::BTreeMap;
 
@@ -9,22 +9,22 @@
 pub struct Store {
     pub records: BTreeMap<String, Vec<u8>>,
     pub epoch: u64,
-    /// It refuses everything.
+    /// Whether it refuses all appends.
     pub down: bool,
-    /// Appends that were taken.
+    /// Number of successful appends.
     pub appends: u64,
     end: u64,
 }
 
 impl Store {
-    /// Closes the log to all earlier writers. Returns the new epoch.
+    /// Closes the log to all earlier writers, and returns the new epoch.
     pub fn close(&mut self) -> u64 {
         self.end += 1;
         self.epoch = self.end;
         self.epoch
     }
 
-    /// Appends, unless a higher epoch has written. Returns whether it did.
+    /// Appends records unless a writer of a higher epoch has taken over. Returns whether they are stored.
     pub fn append(&mut self, epoch: u64, records: &[Record]) -> bool {
         if epoch < self.epoch {
             return false;
--- a/lilacpass-lead/tests/world/worker.rs
+++ b/lilacpass-lead/tests/world/worker.rs
@@ -1,4 +1,4 @@
-//! A worker: keeps the highest epoch, runs what it is told to under a lease, lists ends.
+//! A simulated worker. It keeps the highest epoch it has seen, executes runs under a lease, and lists their ends.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,66 +8,71 @@
     CallError, PollResponse, Refusal, Registration, ReportedEnd, ReportedRun,
 };
 
-/// How long a stop takes.
+/// Time that a run takes to stop.
 const STOP_MS: u64 = 100;
-/// A room that has shrunk counts after so long: what all may need to hear of it, and a heartbeat.
-const SHRINKS_AFTER_MS: u64 = 4_500;
-/// Its clock at the start of the made-up time, so that no test takes one clock for the other.
-const CLOCK_AHEAD_MS: u64 = 500_000;
+/// Time for which an earlier capacity still counts after a reduction: until the leader has learned of it with a
+/// heartbeat.
+const CAPACITY_CHANGE_MS: u64 = 4_500;
+/// Offset of the worker's clock, so that tests fail if the leader's clock and the worker's are mixed up.
+const CLOCK_OFFSET_MS: u64 = 500_000;
 
-pub struct Running {
+/// A run that has not ended.
+pub struct ActiveRun {
     pub run: u32,
     pub need: Resources,
     began_ms: u64,
     ends_ms: u64,
-    how: EndReason,
+    reason: EndReason,
 }
 
-impl Running {
+impl ActiveRun {
+    /// The share of the work that is done, in percent.
     fn percent(&self, now_ms: u64) -> u32 {
-        let whole_ms = self.ends_ms.saturating_sub(self.began_ms).max(1);
-        (now_ms.saturating_sub(self.began_ms).min(whole_ms) * 100 / whole_ms) as u32
+        let total_ms = self.ends_ms.saturating_sub(self.began_ms).max(1);
+        (now_ms.saturating_sub(self.began_ms).min(total_ms) * 100 / total_ms) as u32
     }
 }
 
+/// A simulated worker.
 pub struct Worker {
     pub number: usize,
     pub name: WorkerName,
     pub address: String,
-    /// What it says that it has.
+    /// The capacity that it registers.
     pub capacity: Resources,
-    /// What it had before it shrank, which counts until this time.
+    /// Capacities before reductions, each with the time until which it still counts.
     earlier_capacities: Vec<(u64, Resources)>,
     pub alive: bool,
-    /// Nobody reaches it, and it runs on.
+    /// Whether no call reaches it, while its runs go on.
     pub unreachable: bool,
     pub draining: bool,
-    /// All that starts there fails.
+    /// Whether all its runs fail.
     pub fails_all_runs: bool,
-    /// It is registered.
+    /// Whether it is registered.
     pub registered: bool,
-    /// Until when it is registered though it has crashed.
+    /// Until when its registration remains after a crash.
     pub stale_until_ms: u64,
     pub data_centre: &'static str,
-    pub runs: BTreeMap<TaskName, Running>,
+    pub runs: BTreeMap<TaskName, ActiveRun>,
     /// Tasks that were done here.
     pub done: BTreeSet<TaskName>,
-    /// Tasks of which a run failed here, once for each.
+    /// Tasks of which a run failed here, once for each failed run.
     pub failed: Vec<TaskName>,
-    /// Those of the done whose end was noted.
-    pub recorded_done: BTreeSet<TaskName>,
+    /// Tasks that were done here and whose end is stored, since the leader let the worker forget it.
+    pub stored_done: BTreeSet<TaskName>,
     epoch: u64,
     lease_until_ms: u64,
     ends: Vec<ReportedEnd>,
     next_end: u64,
-    /// Ends up to this number were listed before a lease ran out: they may be noted too late, after
-    /// the task was started elsewhere.
+    /// Number of the last end when a lease last expired. Ends up to this one may be stored too late, after the task
+    /// was started elsewhere.
     last_end_at_expiry: u64,
+    /// Number of the last run of each task that ended or was stopped here.
     last_ended_run: BTreeMap<TaskName, u32>,
     clock_ms: u64,
-    /// Runs whose lease ran out.
+    /// Runs that ended because their lease had expired.
     pub expired_run_count: u64,
-    /// Runs that were told to stop.
+    /// Stop orders for active runs.
     pub stopped: u64,
 }
 
@@ -89,14 +94,14 @@
             runs: BTreeMap::new(),
             done: BTreeSet::new(),
             failed: Vec::new(),
-            recorded_done: BTreeSet::new(),
+            stored_done: BTreeSet::new(),
             epoch: 0,
             lease_until_ms: 0,
             ends: Vec::new(),
             next_end: 1,
             last_end_at_expiry: 0,
             last_ended_run: BTreeMap::new(),
-            clock_ms: CLOCK_AHEAD_MS,
+            clock_ms: CLOCK_OFFSET_MS,
             expired_run_count: 0,
             stopped: 0,
         }
@@ -114,67 +119,70 @@
         }
     }
 
-    /// Number of the worker that was first at its address.
+    /// Number of the worker that first had this address.
     pub fn address_number(&self) -> usize {
         let number = self.address.trim_start_matches("10.0.0.").trim_end_matches(":80");
         number.parse().expect("an address of this cell")
     }
 
-    /// Has another room from now on.
+    /// Changes the capacity. A reduction counts after a while.
     pub fn set_capacity(&mut self, capacity: Resources, now_ms: u64) {
-        self.earlier_capacities.push((now_ms + SHRINKS_AFTER_MS, self.capacity));
+        self.earlier_capacities.push((now_ms + CAPACITY_CHANGE_MS, self.capacity));
         self.capacity = capacity;
     }
 
-    /// What runs there may take: a room that has shrunk counts after a while.
+    /// The capacity that the runs may use now, with earlier capacities that still count.
     pub fn limit(&self, now_ms: u64) -> Resources {
-        let had = self.earlier_capacities.iter().filter(|(until_ms, _)| now_ms < *until_ms);
-        had.fold(self.capacity, |limit, (_, capacity)| limit.max(capacity))
+        let still_allowed =
+            self.earlier_capacities.iter().filter(|(until_ms, _)| now_ms < *until_ms);
+        still_allowed.fold(self.capacity, |limit, (_, capacity)| limit.max(capacity))
     }
 
     pub fn used(&self) -> Resources {
         self.runs.values().fold(Resources::ZERO, |sum, run| sum.plus(&run.need))
     }
 
-    /// Lets time pass: runs end, leases run out.
+    /// Advances the time: runs end, and leases expire.
     pub fn advance(&mut self, now_ms: u64) {
         if !self.alive {
             return;
         }
-        let over: Vec<TaskName> =
+        let ended: Vec<TaskName> =
             self.runs.iter().filter(|(_, run)| run.ends_ms <= now_ms).map(|(t, _)| *t).collect();
-        for task in over {
-            let how = self.runs[&task].how;
-            self.end(task, how);
+        for task in ended {
+            let reason = self.runs[&task].reason;
+            self.end(task, reason);
         }
-        if now_ms + CLOCK_AHEAD_MS > self.lease_until_ms {
-            let lapsed: Vec<TaskName> = self.runs.keys().copied().collect();
-            self.expired_run_count += lapsed.len() as u64;
-            lapsed.into_iter().for_each(|task| self.end(task, EndReason::Expired));
+        if now_ms + CLOCK_OFFSET_MS > self.lease_until_ms {
+            let expired: Vec<TaskName> = self.runs.keys().copied().collect();
+            self.expired_run_count += expired.len() as u64;
+            expired.into_iter().for_each(|task| self.end(task, EndReason::Expired));
             self.last_end_at_expiry = self.next_end - 1;
         }
-        self.now_ms_is(now_ms);
+        self.set_clock(now_ms);
     }
 
-    fn now_ms_is(&mut self, now_ms: u64) {
-        self.clock_ms = now_ms + CLOCK_AHEAD_MS;
+    fn set_clock(&mut self, now_ms: u64) {
+        self.clock_ms = now_ms + CLOCK_OFFSET_MS;
     }
 
-    fn end(&mut self, task: TaskName, how: EndReason) {
+    /// Ends a run, and lists its end.
+    fn end(&mut self, task: TaskName, reason: EndReason) {
         let Some(run) = self.runs.remove(&task) else { return };
-        if how == EndReason::Done {
+        if reason == EndReason::Done {
             self.done.insert(task);
         }
-        if how == EndReason::Failed {
+        if reason == EndReason::Failed {
             self.failed.push(task);
         }
         self.last_ended_run.insert(task, run.run);
-        let end = RunEnd { run: run.run, reason: how, checkpoint: String::new() };
+        let end = RunEnd { run: run.run, reason, checkpoint: String::new() };
         self.ends.push(ReportedEnd { number: self.next_end, task, end });
         self.next_end += 1;
     }
 
-    fn fence(&mut self, epoch: u64) -> Result<(), CallError> {
+    /// Refuses an order of a leader whose epoch is lower than one seen before.
+    fn check_epoch(&mut self, epoch: u64) -> Result<(), CallError> {
         if epoch < self.epoch {
             return Err(CallError::Refused(Refusal::Fence));
         }
@@ -182,19 +190,20 @@
         Ok(())
     }
 
+    /// Answers a poll: extends the lease, forgets ends, and lists runs and ends.
     pub fn poll(
         &mut self,
         epoch: u64,
         lease_until_ms: Option<u64>,
         forget_up_to: u64,
     ) -> Result<PollResponse, CallError> {
-        self.fence(epoch)?;
+        self.check_epoch(epoch)?;
         if let Some(until_ms) = lease_until_ms {
             self.lease_until_ms = self.lease_until_ms.max(until_ms);
         }
         for row in self.ends.iter().filter(|row| row.number <= forget_up_to) {
             if row.end.reason == EndReason::Done && row.number > self.last_end_at_expiry {
-                self.recorded_done.insert(row.task);
+                self.stored_done.insert(row.task);
             }
         }
         self.ends.retain(|row| row.number > forget_up_to);
@@ -202,7 +211,7 @@
             task: *task,
             run: run.run,
             checkpoint: String::new(),
-            percent: run.percent(self.clock_ms - CLOCK_AHEAD_MS),
+            percent: run.percent(self.clock_ms - CLOCK_OFFSET_MS),
             gauge: 0,
         });
         Ok(PollResponse {
@@ -213,16 +222,16 @@
         })
     }
 
-    /// How long a look that waits `most_ms` at most waits for an end.
-    pub fn next_end_ms(&self, most_ms: u64, now_ms: u64) -> u64 {
+    /// How long a poll waits for the end of a run, at most `max_wait_ms`.
+    pub fn next_end_ms(&self, max_wait_ms: u64, now_ms: u64) -> u64 {
         if !self.ends.is_empty() {
             return 0;
         }
         let ends = self.runs.values().map(|run| run.ends_ms.saturating_sub(now_ms));
-        ends.min().unwrap_or(most_ms).min(most_ms)
+        ends.min().unwrap_or(max_wait_ms).min(max_wait_ms)
     }
 
-    /// Whether an order to start is carried out.
+    /// Checks whether a start order is accepted, and extends the lease if so.
     pub fn accepts(
         &mut self,
         task: TaskName,
@@ -230,8 +239,8 @@
         epoch: u64,
         lease_until_ms: u64,
     ) -> Result<(), CallError> {
-        self.fence(epoch)?;
-        if self.last_ended_run.get(&task).is_some_and(|&over| run <= over) {
+        self.check_epoch(epoch)?;
+        if self.last_ended_run.get(&task).is_some_and(|&ended| run <= ended) {
             return Err(CallError::Refused(Refusal::Old));
         }
         if lease_until_ms <= self.clock_ms {
@@ -241,6 +250,7 @@
         Ok(())
     }
 
+    /// Begins a run that ends at `ends_ms`, or never if it is `lasting`.
     pub fn begin(
         &mut self,
         task: TaskName,
@@ -251,11 +261,12 @@
         lasting: bool,
     ) {
         let ends_ms = if lasting { u64::MAX } else { ends_ms };
-        let how = if fails { EndReason::Failed } else { EndReason::Done };
-        let began_ms = self.clock_ms - CLOCK_AHEAD_MS;
-        self.runs.insert(task, Running { run, need, began_ms, ends_ms, how });
+        let reason = if fails { EndReason::Failed } else { EndReason::Done };
+        let began_ms = self.clock_ms - CLOCK_OFFSET_MS;
+        self.runs.insert(task, ActiveRun { run, need, began_ms, ends_ms, reason });
     }
 
+    /// Stops a run, or prevents it from starting later.
     pub fn stop(
         &mut self,
         task: TaskName,
@@ -263,17 +274,17 @@
         epoch: u64,
         now_ms: u64,
     ) -> Result<(), CallError> {
-        self.fence(epoch)?;
+        self.check_epoch(epoch)?;
         match self.runs.get_mut(&task) {
             Some(running) if running.run <= run => {
                 running.ends_ms = running.ends_ms.min(now_ms + STOP_MS);
-                running.how = EndReason::Stopped;
+                running.reason = EndReason::Stopped;
                 self.stopped += 1;
             }
             Some(_) => {}
             None => {
-                let over = self.last_ended_run.entry(task).or_insert(run);
-                *over = (*over).max(run);
+                let ended = self.last_ended_run.entry(task).or_insert(run);
+                *ended = (*ended).max(run);
             }
         }
         Ok(())
