--- a/lilacpass-lead/tests/crashes.rs
+++ b/lilacpass-lead/tests/crashing_tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks that crash the workers that start them, and healthy ones on workers that crash.
+//! Tests with tasks that crash their workers, and with healthy tasks on workers that crash.
 
 mod world;
 
@@ -11,16 +11,18 @@
 
 const CRASHING_JOB: u64 = 1;
 const QUICK_JOBS: Range<u64> = 2..62;
-/// How soon after its start a task crashes its worker.
-const CRASHES_AFTER_MS: u64 = 10;
+/// Time from the start of a crashing task until its worker crashes.
+const CRASH_DELAY_MS: u64 = 10;
 
 fn task(job: u64, index: u32) -> TaskName {
     StepName { job: JobKey(job), occurrence: 0, step: 0 }.task(index)
 }
 
-/// Workers on which a task runs.
+/// Indices of the live workers on which a task runs.
 fn hosts_of(world: &World, task: TaskName) -> Vec<usize> {
-    let runs = |at: &usize| world.workers[*at].alive && world.workers[*at].runs.contains_key(&task);
+    let runs = |index: &usize| {
+        world.workers[*index].alive && world.workers[*index].runs.contains_key(&task)
+    };
     (0..world.workers.len()).filter(runs).collect()
 }
 
@@ -32,8 +34,8 @@
     World::new(seed, 12, Resources::new(8_000, 1_000, 0, 0))
 }
 
-/// Twelve workers, one job of which a task crashes its workers, and quick jobs each half second.
-fn play_beside_quick_work(crashing: v1::WorkStep, after_ms: u64) -> World {
+/// Simulates twelve workers with a job of which one task crashes its workers, and quick jobs every half second.
+fn run_beside_quick_jobs(crashing: v1::WorkStep, after_ms: u64) -> World {
     let mut world = twelve_workers(11);
     world.crashes.crashing.insert(task(CRASHING_JOB, 0), after_ms);
     world.submit(CRASHING_JOB, plan(&[crashing]), queue("quick", 0));
@@ -45,34 +47,34 @@
     world
 }
 
-/// Crashes all workers at once whose addresses have such a number.
-fn crash_all(world: &mut World, is_hit: impl Fn(usize) -> bool) {
-    for at in 0..world.workers.len() {
-        if world.workers[at].alive && is_hit(world.workers[at].address_number()) {
-            world.crash_worker(at);
+/// Crashes all live workers for whose address number `is_affected` returns true.
+fn crash_workers(world: &mut World, is_affected: impl Fn(usize) -> bool) {
+    for index in 0..world.workers.len() {
+        if world.workers[index].alive && is_affected(world.workers[index].address_number()) {
+            world.crash_worker(index);
         }
     }
 }
 
-/// How long a job took, but for runs that failed by themselves.
-fn took_ms(world: &World, key: JobKey) -> u64 {
-    /// Such a run of a quick job to its end, and the record of that.
+/// How long a job took, without the time of its runs that failed by themselves.
+fn duration_ms(world: &World, key: JobKey) -> u64 {
+    /// A failed run of a quick job, including the time until its end is stored.
     const FAILED_RUN_MS: u64 = 1_000;
     let job = world.store.job(key).expect("it is stored");
     let failed = world.workers.iter().flat_map(|worker| &worker.failed);
     let failed: Vec<TaskName> = failed.filter(|task| task.step.job == key).copied().collect();
     let runs_of = |task: &TaskName| failed.iter().filter(|other| *other == task).count() as u64;
-    let most_runs = failed.iter().map(runs_of).max().unwrap_or(0);
-    (job.ended_ms - job.accepted_ms).saturating_sub(most_runs * FAILED_RUN_MS)
+    let max_failed_runs = failed.iter().map(runs_of).max().unwrap_or(0);
+    (job.ended_ms - job.accepted_ms).saturating_sub(max_failed_runs * FAILED_RUN_MS)
 }
 
-fn assert_quick_work_is_done(world: &World) {
+fn assert_quick_jobs_are_done(world: &World) {
     for key in QUICK_JOBS {
         assert_eq!(outcome(world, key), Some(Outcome::Completed), "quick job {key}");
     }
 }
 
-/// Lets time pass until something holds, which takes less than half a minute.
+/// Advances the time until a condition holds, for at most half a minute.
 fn run_until(world: &mut World, holds: impl Fn(&World) -> bool) {
     for _ in 0..3_000 {
         if holds(world) {
@@ -80,89 +82,93 @@
         }
         world.run(10);
     }
-    panic!("it does not hold after half a minute");
+    panic!("the condition does not hold after half a minute");
 }
 
-/// The job that crashes its workers is given up, and says why.
-fn assert_given_up(world: &mut World) {
+/// Checks that the crashing job has failed, and that the explanation names the crashes.
+fn assert_failed_by_crashes(world: &mut World) {
     assert_eq!(outcome(world, CRASHING_JOB), Some(Outcome::Failed));
     let now = world.now();
-    let why =
-        world.current_instance().leader.explain(JobKey(CRASHING_JOB), now).expect("it is known");
+    let why = world
+        .current_instance()
+        .leader
+        .explain(JobKey(CRASHING_JOB), now)
+        .expect("the job is known");
     assert!(why.failure.contains("workers crashed under task"), "{}", why.failure);
 }
 
-/// Guards against a task that goes on crashing one worker after the other, with all that runs there.
+/// A task must not go on crashing one worker after the other, together with everything that runs there.
 #[test]
 fn a_task_that_crashes_its_workers_is_given_up() {
     for speculative in [false, true] {
         let crashing = v1::WorkStep { speculative, ..step(4, 1_000, 1_000) };
-        let mut world = play_beside_quick_work(crashing, CRASHES_AFTER_MS);
-        assert_given_up(&mut world);
-        assert_quick_work_is_done(&world);
+        let mut world = run_beside_quick_jobs(crashing, CRASH_DELAY_MS);
+        assert_failed_by_crashes(&mut world);
+        assert_quick_jobs_are_done(&world);
         assert!(world.crashes.total() <= 3, "{} workers were lost", world.crashes.total());
     }
 }
 
-/// Guards against quick work that is held up beside a crashing task, by its trials or by workers lost to it.
+/// Quick jobs must not be held up beside a crashing task, neither by its trials nor by the loss of workers.
 #[test]
 fn quick_work_beside_a_crashing_task_is_done_soon() {
-    /// A job of three tasks of 0.8 s that start at once, with time for records and looks.
+    /// A job of three tasks of 0.8 s that start at once, with time for appends and polls.
     const UNDISTURBED_MS: u64 = 1_500;
-    /// The same after its worker was away for 3.5 s, and once more.
-    const STRUCK_MS: u64 = 2 * 3_500 + UNDISTURBED_MS;
+    /// A job whose worker crashed twice and was away for 3.5 s each time.
+    const CRASH_AFFECTED_MS: u64 = 2 * 3_500 + UNDISTURBED_MS;
     for speculative in [false, true] {
         let crashing = v1::WorkStep { speculative, ..step(4, 1_000, 1_000) };
-        let world = play_beside_quick_work(crashing, CRASHES_AFTER_MS);
-        let mut took_ms = QUICK_JOBS.map(|key| took_ms(&world, JobKey(key))).collect::<Vec<u64>>();
-        took_ms.sort_unstable();
-        assert!(took_ms[took_ms.len() * 9 / 10] <= UNDISTURBED_MS, "{took_ms:?}");
-        assert!(took_ms[took_ms.len() - 1] <= STRUCK_MS, "{took_ms:?}");
-        let struck = world.crashes.affected.iter().map(|task| task.step.job);
-        let struck: BTreeSet<JobKey> = struck.collect();
-        for job in QUICK_JOBS.map(JobKey).filter(|job| !struck.contains(job)) {
-            let took_ms = self::took_ms(&world, job);
+        let world = run_beside_quick_jobs(crashing, CRASH_DELAY_MS);
+        let mut duration_ms =
+            QUICK_JOBS.map(|key| duration_ms(&world, JobKey(key))).collect::<Vec<u64>>();
+        duration_ms.sort_unstable();
+        assert!(duration_ms[duration_ms.len() * 9 / 10] <= UNDISTURBED_MS, "{duration_ms:?}");
+        assert!(duration_ms[duration_ms.len() - 1] <= CRASH_AFFECTED_MS, "{duration_ms:?}");
+        let crash_affected = world.crashes.affected.iter().map(|task| task.step.job);
+        let crash_affected: BTreeSet<JobKey> = crash_affected.collect();
+        for job in QUICK_JOBS.map(JobKey).filter(|job| !crash_affected.contains(job)) {
+            let duration_ms = self::duration_ms(&world, job);
             assert!(
-                took_ms <= UNDISTURBED_MS,
-                "{job} took {took_ms} ms, and no worker crashed under it"
+                duration_ms <= UNDISTURBED_MS,
+                "{job} took {duration_ms} ms although no worker crashed under it"
             );
         }
     }
 }
 
-/// Guards against a task that is given a new chance for ever because its workers live on for a while.
+/// A task must not get a new chance for ever because its workers survive its start for a while.
 #[test]
 fn a_task_that_crashes_its_workers_late_is_given_up() {
     for after_ms in [400, 1_500, 4_000] {
-        let mut world = play_beside_quick_work(step(1, 1_000, 20_000), after_ms);
-        assert_given_up(&mut world);
-        assert_quick_work_is_done(&world);
+        let mut world = run_beside_quick_jobs(step(1, 1_000, 20_000), after_ms);
+        assert_failed_by_crashes(&mut world);
+        assert_quick_jobs_are_done(&world);
     }
 }
 
-/// Guards against a gang, of which each run begins on several workers, escaping the count.
+/// A gang must not escape the count of crashes because each of its runs starts on several workers.
 #[test]
 fn a_gang_that_crashes_a_worker_is_given_up() {
     let gang = v1::WorkStep { gang: true, ..step(3, 2_000, 10_000) };
-    let mut world = play_beside_quick_work(gang, CRASHES_AFTER_MS);
-    assert_given_up(&mut world);
-    assert_quick_work_is_done(&world);
+    let mut world = run_beside_quick_jobs(gang, CRASH_DELAY_MS);
+    assert_failed_by_crashes(&mut world);
+    assert_quick_jobs_are_done(&world);
 }
 
-/// Guards against watchers, which are restarted however they end, being restarted for ever on one worker after the other.
+/// Lasting tasks are restarted however they end. One that crashes its workers must not be restarted for ever.
 #[test]
-fn a_watcher_that_crashes_its_workers_is_given_up() {
+fn a_lasting_task_that_crashes_its_workers_is_given_up() {
     let lasting = v1::WorkStep { lasting: true, ..step(3, 1_000, 500) };
-    let mut world = play_beside_quick_work(lasting, CRASHES_AFTER_MS);
-    assert_given_up(&mut world);
-    assert_quick_work_is_done(&world);
+    let mut world = run_beside_quick_jobs(lasting, CRASH_DELAY_MS);
+    assert_failed_by_crashes(&mut world);
+    assert_quick_jobs_are_done(&world);
 }
 
-/// Guards against a task that has its chances again under each new leader.
+/// A task must not get all its chances again under each new leader.
 #[test]
-fn crashes_are_known_to_the_next_leader() {
+fn crashes_are_known_to_a_new_leader() {
     let mut world = twelve_workers(7);
-    world.crashes.crashing.insert(task(CRASHING_JOB, 0), CRASHES_AFTER_MS);
+    world.crashes.crashing.insert(task(CRASHING_JOB, 0), CRASH_DELAY_MS);
     world.submit(CRASHING_JOB, plan(&[step(1, 1_000, 1_000)]), queue("quick", 0));
     for _ in 0..12 {
         world.run(4_500);
@@ -170,14 +176,14 @@
         world.take_over();
     }
     world.run(8_000);
-    assert_given_up(&mut world);
+    assert_failed_by_crashes(&mut world);
     world.current_instance().alive = false;
     world.take_over();
     world.run(1_000);
-    assert_given_up(&mut world);
+    assert_failed_by_crashes(&mut world);
 }
 
-/// Guards against workers lost to some crashing tasks that seem to explain those lost to others, while leaders change.
+/// Workers crashed by some tasks must not count as the explanation of those crashed by others while leaders change.
 #[test]
 fn crashing_tasks_are_given_up_while_leaders_change() {
     for seed in 1..30 {
@@ -186,14 +192,14 @@
             for key in 1 + 10 * round..11 + 10 * round {
                 let is_crashing = key % 10 < 3;
                 if is_crashing {
-                    world.crashes.crashing.insert(task(key, 0), CRASHES_AFTER_MS);
+                    world.crashes.crashing.insert(task(key, 0), CRASH_DELAY_MS);
                 }
                 let quick = v1::WorkStep { speculative: key % 2 == 0, ..step(3, 1_000, 800) };
                 world.submit(key, plan(&[quick]), queue("quick", 0));
                 world.run(120);
             }
-            let lives_ms = 1_500 + world.random.below(3_000);
-            world.run(lives_ms);
+            let leads_for_ms = 1_500 + world.random.below(3_000);
+            world.run(leads_for_ms);
             world.current_instance().alive = false;
             world.run(600);
             world.take_over();
@@ -206,7 +212,7 @@
     }
 }
 
-/// Guards against healthy work that is given up because its workers were lost together, again and again.
+/// Healthy jobs must not fail because several of their workers are lost at the same time, again and again.
 #[test]
 fn work_on_racks_that_are_lost_is_not_given_up() {
     let mut world = twelve_workers(3);
@@ -214,19 +220,19 @@
     let lasting = v1::WorkStep { lasting: true, ..step(12, 1_000, 500) };
     world.submit(2, plan(&[lasting]), queue("watch", 1));
     for round in 0..4 {
-        crash_all(&mut world, |number| number % 2 == round % 2);
+        crash_workers(&mut world, |number| number % 2 == round % 2);
         world.run(5_000 + 37 * round as u64);
     }
     for key in [1, 2] {
         let job = world.store.job(JobKey(key)).expect("it is stored");
-        assert!(!job.tasks().any(|task| task.crashes.is_suspect()), "none is held back");
+        assert!(!job.tasks().any(|task| task.crashes.is_suspect()), "no task is held back");
     }
     world.run(20_000);
     assert_eq!(outcome(&world, 1), Some(Outcome::Completed));
     assert_eq!(outcome(&world, 2), Some(Outcome::Open));
 }
 
-/// Guards against healthy work that is given up because its worker is cut off, each time for longer than its lease.
+/// A healthy job must not fail because its worker is cut off, each time for longer than its lease.
 #[test]
 fn work_on_workers_that_are_cut_off_is_not_given_up() {
     let mut world = twelve_workers(5);
@@ -234,28 +240,29 @@
     for _ in 0..6 {
         world.run(1_000);
         let hosts = hosts_of(&world, task(1, 0));
-        for &at in &hosts {
-            world.workers[at].unreachable = true;
-            world.unregister(at);
+        for &index in &hosts {
+            world.workers[index].unreachable = true;
+            world.unregister(index);
         }
         world.run(9_000);
-        hosts.iter().for_each(|&at| world.workers[at].unreachable = false);
+        hosts.iter().for_each(|&index| world.workers[index].unreachable = false);
     }
     world.run(20_000);
     assert_eq!(outcome(&world, 1), Some(Outcome::Completed));
 }
 
-/// Guards against healthy work that is given up for the crashes of a machine that is broken.
+/// Healthy jobs must not fail because of the crashes of a broken machine.
 #[test]
 fn work_is_tried_away_from_a_machine_that_crashes_by_itself() {
     let mut world = twelve_workers(9);
     for key in 1..40 {
         world.submit(key, plan(&[step(3, 1_000, 1_500)]), queue("quick", 0));
         world.run(350);
-        let broken = (0..world.workers.len())
-            .find(|&at| world.workers[at].alive && world.workers[at].address_number() == 4);
-        if let Some(at) = broken.filter(|&at| !world.workers[at].runs.is_empty()) {
-            world.crash_worker(at);
+        let broken = (0..world.workers.len()).find(|&index| {
+            world.workers[index].alive && world.workers[index].address_number() == 4
+        });
+        if let Some(index) = broken.filter(|&index| !world.workers[index].runs.is_empty()) {
+            world.crash_worker(index);
         }
     }
     world.run(20_000);
@@ -264,8 +271,8 @@
     }
 }
 
-/// Guards against healthy work that is given up for one crash that is counted at each tick, once the worker is back
-/// after its leases have run out.
+/// A healthy job must not fail because one crash is counted on each tick once the worker is back after its leases have
+/// expired.
 #[test]
 fn a_crash_is_counted_once_however_late_it_is_known() {
     for away_ms in [3_500, 5_000, 6_500, 9_000] {
@@ -286,50 +293,50 @@
     }
 }
 
-/// Guards against a crash that nobody counts since the leases of the worker ran out while the leader stood still.
+/// A crash must be counted even if the leases of the worker expired while the leader was stalled.
 #[test]
-fn a_crash_just_before_the_leader_stands_still_is_counted() {
-    for stands_ms in [2_000, 6_000, 9_000] {
+fn a_crash_just_before_the_leader_stalls_is_counted() {
+    for stall_ms in [2_000, 6_000, 9_000] {
         let mut world = twelve_workers(17);
         world.crashes.crashing.insert(task(CRASHING_JOB, 0), 400);
         world.submit(CRASHING_JOB, plan(&[step(1, 1_000, 30_000)]), queue("quick", 0));
         run_until(&mut world, |world| world.crashes.total() == 1);
         world.crashes.crashing.clear();
-        // The look that was under way is answered, and the next one is not yet known to have failed.
+        // The poll in flight is answered, and the next one is not known to have failed yet.
         world.run(300);
-        let until_ms = world.now_ms + stands_ms;
+        let until_ms = world.now_ms + stall_ms;
         world.current_instance().paused_until_ms = until_ms;
-        world.run(stands_ms + 8_000);
+        world.run(stall_ms + 8_000);
         let job = world.store.job(JobKey(CRASHING_JOB)).expect("it is stored");
         let known = job.tasks().map(|task| task.crashes.known).max();
-        assert_eq!(known, Some(1), "the leader stood still for {stands_ms} ms");
+        assert_eq!(known, Some(1), "the leader was stalled for {stall_ms} ms");
     }
 }
 
-/// Guards against healthy work that is given up since its leader stood still while workers crashed.
+/// A healthy job must not fail because workers crash while the leader is stalled.
 #[test]
-fn work_on_workers_that_crash_while_the_leader_stands_still_is_not_given_up() {
+fn work_on_workers_that_crash_while_the_leader_is_stalled_is_not_given_up() {
     let mut world = twelve_workers(13);
     world.submit(1, plan(&[step(24, 1_000, 4_000)]), queue("long", 1));
     for round in 0..4 {
         world.run(150);
         let until_ms = world.now_ms + 2_500;
         world.current_instance().paused_until_ms = until_ms;
-        crash_all(&mut world, |number| number % 3 == round % 3);
+        crash_workers(&mut world, |number| number % 3 == round % 3);
         world.run(4_000 + 100 * round as u64);
     }
     world.run(20_000);
     assert_eq!(outcome(&world, 1), Some(Outcome::Completed));
 }
 
-/// Guards against healthy neighbours of many crashing tasks that are given up with them.
+/// Healthy neighbours of many crashing tasks must not fail with them.
 #[test]
 fn neighbours_of_crashing_tasks_are_not_given_up() {
     for seed in 1..20 {
         let mut world = twelve_workers(seed);
         let crashing: Vec<u64> = (1..60).filter(|key| key % 10 == 0).collect();
         for &key in &crashing {
-            world.crashes.crashing.insert(task(key, (key / 10 % 3) as u32), CRASHES_AFTER_MS);
+            world.crashes.crashing.insert(task(key, (key / 10 % 3) as u32), CRASH_DELAY_MS);
         }
         for key in 1..60 {
             world.submit(key, plan(&[step(3, 1_000, 800)]), queue("quick", 0));
@@ -344,7 +351,7 @@
     }
 }
 
-/// Guards against a healthy task that is given up for one crash by chance after those of a neighbour that was given up.
+/// A healthy job must not fail because of one accidental crash after those of a neighbour that has failed for them.
 #[test]
 fn crashes_of_a_task_that_was_given_up_do_not_count_against_its_neighbours() {
     const NEIGHBOUR: u64 = 2;
@@ -353,7 +360,7 @@
     world.submit(CRASHING_JOB, plan(&[step(1, 1_000, 1_000)]), queue("quick", 0));
     world.submit(NEIGHBOUR, plan(&[step(1, 1_000, 3_000)]), queue("quick", 0));
     run_until(&mut world, |world| !hosts_of(world, task(NEIGHBOUR, 0)).is_empty());
-    // Nobody sees when the first worker crashes, and so not that it did soon after a start.
+    // No leader sees the first worker crash, so it is unknown that this happened soon after a start.
     world.current_instance().alive = false;
     world.run(600);
     world.take_over();
@@ -366,7 +373,7 @@
     assert_eq!(outcome(&world, NEIGHBOUR), Some(Outcome::Completed));
 }
 
-/// Guards against a task that has long been at work and is given up for crashes beside tasks that had just started.
+/// A task that has been running for long must not fail for crashes beside tasks that had just started.
 #[test]
 fn work_that_has_outlived_its_start_is_not_given_up_for_crashes_beside_new_work() {
     const LASTING_JOB: u64 = 1;
@@ -387,17 +394,17 @@
     assert!((2..6).all(|key| outcome(&world, key) == Some(Outcome::Completed)));
 }
 
-/// Guards against a healthy task that is given up since two workers had crashed before its start reached them.
+/// A healthy job must not fail because two workers crashed before its start reached them.
 #[test]
-fn starts_that_come_after_a_crash_are_not_blamed_for_it() {
+fn starts_that_arrive_after_a_crash_are_not_suspects() {
     let mut world = World::new(3, 1, Resources::new(8_000, 1_000, 0, 0));
     world.submit(1, plan(&[step(1, 1_000, 1_000)]), queue("quick", 0));
     for run in 1..=2 {
-        let is_recorded = |world: &World| {
+        let is_stored = |world: &World| {
             let job = world.store.job(JobKey(1));
             job.is_some_and(|job| job.tasks().any(|task| task.last_run == run))
         };
-        while !is_recorded(&world) {
+        while !is_stored(&world) {
             world.run(1);
         }
         let host = world.workers.iter().position(|worker| worker.alive).expect("a worker");
@@ -408,23 +415,23 @@
     assert_eq!(outcome(&world, 1), Some(Outcome::Completed));
 }
 
-/// Guards against twins: once a task had been given a copy, each later run of it got one at once.
+/// Once a task had been given a copy, each later run of it got one at once.
 #[test]
-fn a_copy_is_given_only_beside_a_run_that_may_be_lost() {
+fn a_copy_is_started_only_beside_a_run_that_may_be_lost() {
     let mut world = World::new(5, 6, Resources::new(8_000, 1_000, 0, 0));
     let long = v1::WorkStep { speculative: true, ..step(1, 1_000, 20_000) };
     world.submit(1, plan(&[long]), queue("quick", 0));
     world.run(1_000);
     for _ in 0..2 {
         let hosts = hosts_of(&world, task(1, 0));
-        assert_eq!(hosts.len(), 1, "one run, since its worker answers");
+        assert_eq!(hosts.len(), 1, "one run, since its worker responds");
         world.workers[hosts[0]].unreachable = true;
         world.run(2_000);
         let copies = hosts_of(&world, task(1, 0));
-        assert_eq!(copies.len(), 2, "a copy runs beside the one that may be lost");
-        copies.iter().for_each(|&at| world.workers[at].unreachable = true);
+        assert_eq!(copies.len(), 2, "a copy runs beside the run that may be lost");
+        copies.iter().for_each(|&index| world.workers[index].unreachable = true);
         world.run(8_000);
-        copies.iter().for_each(|&at| world.workers[at].unreachable = false);
+        copies.iter().for_each(|&index| world.workers[index].unreachable = false);
         world.run(1_000);
     }
 }
