--- a/lilacpass-lead/tests/stories.rs
+++ b/lilacpass-lead/tests/cell_regressions.rs
@@ -1,4 +1,4 @@
-//! Failures that were seen, each as a story that is played in the small cell.
+//! Regression tests of failures that were seen, in the simulated cell.
 
 mod world;
 
@@ -18,9 +18,9 @@
     world.store.job(JobKey(key)).map(|job| job.outcome)
 }
 
-/// A watcher stops reporting and nobody restarts it for over ten seconds. Its worker left while the
-/// leader lost power; the successor knew the worker from the records only, could not ask it, and
-/// waited for the longest lease that the former leader could have given.
+/// A lasting task stopped, and was not restarted for over ten seconds. Its worker had left while the leader crashed;
+/// the successor knew the worker from stored runs only, could not poll it, and waited for the longest lease that the
+/// former leader could have granted.
 #[test]
 fn a_task_on_a_worker_that_left_during_a_take_over_starts_again_soon() {
     let mut world = four_workers(3);
@@ -37,10 +37,10 @@
     assert_eq!(running, 1, "the task runs again four seconds after the take-over");
 }
 
-/// A check never comes back: its worker went dark, and each look at it was taken for an extension of
-/// the lease, though none was answered.
+/// A check never ended: its worker became unreachable, and each poll of it counted as an extension of the lease
+/// although none was answered.
 #[test]
-fn work_on_a_silent_worker_starts_again_when_its_lease_has_lapsed() {
+fn work_on_an_unresponsive_worker_starts_again_when_its_lease_has_expired() {
     let mut world = four_workers(3);
     world.submit(1, plan(&[step(1, 4_000, 3_000)]), queue("quick", 0));
     world.run(1_000);
@@ -51,10 +51,10 @@
     assert_eq!(elsewhere, 1, "it runs elsewhere eight seconds later");
 }
 
-/// The same, but nothing of the data centre answers: the former leader and the worker may be cut off
-/// together, and the task run on. Then the bound on the lease must be waited for.
+/// Here no worker of the data centre responds, so the former leader and the worker may be cut off together while the
+/// task still runs. The leader must wait until the lease has certainly expired.
 #[test]
-fn a_task_in_a_silent_data_centre_is_not_started_twice() {
+fn a_task_in_an_unresponsive_data_centre_is_not_started_twice() {
     let mut world = four_workers(3);
     let lasting = v1::WorkStep { lasting: true, ..step(1, 4_000, 500) };
     world.submit(1, plan(&[lasting]), queue("watch", 1));
@@ -63,14 +63,14 @@
     world.take_over();
     world.run(4_000);
     let job = world.store.job(JobKey(1)).expect("the job is stored");
-    assert_eq!(job.tasks().map(|task| task.last_run).max(), Some(1), "no second run was begun");
+    assert_eq!(job.tasks().map(|task| task.last_run).max(), Some(1), "no second run has begun");
 }
 
-/// Watchers run twice after a data centre was cut off in an outage of the store: their workers lived
-/// on, their registrations had lapsed in the outage, and the new leader took them for gone because
-/// its own data centre answered.
+/// Lasting tasks ran twice after a data centre was cut off during an outage of the store: their workers were alive,
+/// their registrations had expired in the outage, and the new leader presumed them gone because its own data centre
+/// responded.
 #[test]
-fn a_worker_is_not_taken_for_gone_while_its_data_centre_is_silent() {
+fn a_worker_is_not_presumed_gone_while_its_data_centre_is_unresponsive() {
     let mut world = four_workers(3);
     let lasting = v1::WorkStep { lasting: true, ..step(1, 4_000, 500) };
     world.workers[2].data_centre = "there";
@@ -87,13 +87,13 @@
     world.take_over();
     world.run(6_000);
     let job = world.store.job(JobKey(1)).expect("the job is stored");
-    assert_eq!(job.tasks().map(|task| task.last_run).max(), Some(1), "no second run was begun");
+    assert_eq!(job.tasks().map(|task| task.last_run).max(), Some(1), "no second run has begun");
 }
 
-/// An audit is reported as done, and runs again. Its leader was suspended past the lease; when it
-/// woke it counted the run as lapsed before it read that the run had been done.
+/// An audit that was done ran again. Its leader had been suspended for longer than the lease, and afterwards counted
+/// the run as expired before it read that the run had been done.
 #[test]
-fn work_that_was_done_before_its_lease_lapsed_is_not_done_again() {
+fn work_that_was_done_before_its_lease_expired_is_not_done_again() {
     let mut world = four_workers(5);
     world.submit(1, plan(&[step(1, 1_000, 2_000)]), queue("audit", 1));
     world.run(1_000);
@@ -103,10 +103,10 @@
     assert_eq!(outcome(&world, 1), Some(Outcome::Completed));
 }
 
-/// Jobs of a store that refuses everything hang until their callers have left, and nobody can tell
-/// whether they will run. A store that says that it did nothing lets us say the same, at once.
+/// While the store refused everything, clients waited for their jobs until they gave up, without knowing whether the
+/// jobs would run. Since the store reports that it has stored nothing, the leader can refuse such jobs at once.
 #[test]
-fn jobs_are_refused_when_the_store_surely_took_nothing() {
+fn jobs_are_refused_when_the_store_has_certainly_stored_nothing() {
     let mut world = four_workers(7);
     world.run(200);
     world.store.down = true;
@@ -115,11 +115,11 @@
     assert!(matches!(world.response(request_id), Some(Response::Refused { .. })), "refused");
     world.store.down = false;
     world.run(5_000);
-    assert_eq!(outcome(&world, 1), None, "what was refused never runs");
+    assert_eq!(outcome(&world, 1), None, "a refused job never runs");
 }
 
-/// Users of a watcher wait too long: a task that fills took the processors beside it. It is placed
-/// elsewhere, and makes way where it came first.
+/// Users of a serving task waited too long, because a filling task used the processors beside it. The serving task must
+/// be placed elsewhere, or the filling task must be stopped if it was there first.
 #[test]
 fn filling_tasks_and_serving_tasks_do_not_share_a_worker() {
     let mut world = World::new(9, 1, Resources::new(8_000, 1_000, 0, 0));
@@ -131,12 +131,11 @@
     world.submit(2, plan(&[serves]), queue("serve", 0));
     world.run(2_000);
     let running: Vec<u64> = world.workers[0].runs.keys().map(|task| task.step.job.0).collect();
-    assert_eq!(running, [2], "the serving task has taken its place");
+    assert_eq!(running, [2], "the serving task has replaced it");
 }
 
-/// Most checks that run while a data centre is cut off are late: each has ten tasks, and with tasks all
-/// over the cell nearly every job has one there. Kept in one data centre each, two of three jobs are
-/// not touched.
+/// Most checks were late while a data centre was cut off: each has ten tasks, and with tasks spread over the whole cell
+/// nearly every job has one there. If each job stays in one data centre, two of three jobs are not affected.
 #[test]
 fn the_tasks_of_a_job_run_in_one_data_centre() {
     let mut world = World::new(5, 12, Resources::new(8_000, 1_000, 0, 0));
@@ -147,33 +146,34 @@
     for key in 1..=6 {
         world.submit(key, plan(&[step(5, 1_500, 700), step(3, 1_500, 700)]), queue("quick", 0));
     }
-    let mut homes = BTreeMap::new();
+    let mut data_centres = BTreeMap::new();
     for _ in 0..30 {
         world.run(100);
         for worker in &world.workers {
             for task in worker.runs.keys() {
-                let home: &mut Vec<&str> = homes.entry(task.step.job).or_default();
-                home.push(worker.data_centre);
+                let of_job: &mut Vec<&str> = data_centres.entry(task.step.job).or_default();
+                of_job.push(worker.data_centre);
             }
         }
     }
-    assert_eq!(homes.len(), 6);
-    for (job, home) in &homes {
-        assert!(home.iter().all(|data_centre| *data_centre == home[0]), "{job}: {home:?}");
+    assert_eq!(data_centres.len(), 6);
+    for (job, of_job) in &data_centres {
+        assert!(of_job.iter().all(|data_centre| *data_centre == of_job[0]), "{job}: {of_job:?}");
     }
-    let all: BTreeSet<&str> = homes.values().map(|home| home[0]).collect();
-    assert_eq!(all.len(), 3, "and jobs are spread over all data centres");
+    let all: BTreeSet<&str> = data_centres.values().map(|of_job| of_job[0]).collect();
+    assert_eq!(all.len(), 3, "the jobs are spread over all data centres");
 }
 
-/// A check fails that nearly any worker would have done. Advice had allowed one or two workers so far, which spoil their
-/// work: they failed the check six times in half a second, while workers that nobody had asked about stood idle.
+/// A check failed that nearly any worker could have run. Advice had allowed one or two workers so far, both faulty:
+/// they failed the check six times within half a second, while workers about which no advice had been requested stood
+/// idle.
 #[test]
-fn attempts_are_not_burned_on_the_few_workers_that_are_known_to_be_allowed() {
+fn attempts_are_not_used_up_on_the_few_workers_known_to_be_allowed() {
     const ATTEMPTS: u32 = 6;
     let mut world = World::new(3, 20, Resources::new(8_000, 1_000, 0, 0));
     let advice = v1::AdvicePolicy { base_ms: 20.0, per_worker_ms: 1.0, valid_ms: 2_500 };
     let advised = v1::QueuePolicy { advice: Some(advice), attempts: ATTEMPTS, ..queue("quick", 0) };
-    // The workers that are asked about first; four of them are allowed.
+    // The workers about which advice is requested first; four of them are allowed.
     let first = ["w-0", "w-1", "w-10", "w-11", "w-12", "w-13", "w-14", "w-15"];
     for worker in &mut world.workers {
         worker.fails_all_runs = first.contains(&worker.name.as_str());
--- a/lilacpass-lead/tests/same_decisions.rs
+++ b/lilacpass-lead/tests/same_decisions.rs
@@ -1,5 +1,5 @@
-//! Decisions follow from the events alone. The digests that these plays print compare two codes that are
-//! meant to decide alike: `cargo test -p lilacpass-lead --test same_decisions -- --nocapture`.
+//! Decisions depend on the events alone. The digests that the test prints show whether two versions of the code make
+//! the same decisions: `cargo test -p lilacpass-lead --test same_decisions -- --nocapture`.
 
 mod world;
 
@@ -9,19 +9,19 @@
 use lilacpass_schema::v1;
 use world::{Random, World, plan, queue, step};
 
-/// Plays, each with its own seed.
-const PLAYS: u64 = 12;
-/// Workers of a cell.
+/// Number of simulations, each with its own seed.
+const SIMULATIONS: u64 = 12;
+/// Number of workers in the cell.
 const WORKERS: usize = 20;
-/// Events of a play, and the longest time between two, in ms.
+/// Number of events in a simulation, and the maximum time between two of them in ms.
 const EVENTS: u64 = 250;
-const LONGEST_PAUSE_MS: u64 = 120;
-/// Data centres of the workers.
+const MAX_PAUSE_MS: u64 = 120;
+/// Data centres of the workers in turn.
 const DATA_CENTRES: [&str; 3] = ["here", "near", "far"];
 
-/// A busy cell with work of all kinds, in which workers crash and are cut off, the store refuses, answers get
-/// lost and leaders change.
-fn play(seed: u64) -> u64 {
+/// Simulates a busy cell with jobs of all kinds, in which workers crash and are cut off, the store refuses appends,
+/// responses are lost and leaders change. Returns the digest of all decisions.
+fn simulate(seed: u64) -> u64 {
     let mut random = Random(seed * 2 + 1);
     let mut world = World::new(seed, WORKERS, Resources::new(8_000, 1_000, 4, 0));
     for (number, worker) in world.workers.iter_mut().enumerate() {
@@ -41,40 +41,40 @@
             4 => world.lost_order_percent = random.below(10),
             5 if world.workers[worker].alive => world.replace_worker(worker),
             _ => {
-                let plan = some_plan(&mut random);
-                let queue = some_queue(&mut random);
+                let plan = random_plan(&mut random);
+                let queue = random_queue(&mut random);
                 world.submit(key, plan, queue);
             }
         }
-        let pause_ms = random.below(LONGEST_PAUSE_MS);
+        let pause_ms = random.below(MAX_PAUSE_MS);
         world.run(pause_ms);
     }
     world.digest()
 }
 
-fn some_queue(random: &mut Random) -> v1::QueuePolicy {
-    let sort = random.below(4);
+fn random_queue(random: &mut Random) -> v1::QueuePolicy {
+    let kind = random.below(4);
     let (base_ms, per_worker_ms) =
-        [(0.0, 0.0), (20.0, 1.0), (100.0, 9.0), (490.0, 7.0)][sort as usize];
+        [(0.0, 0.0), (20.0, 1.0), (100.0, 9.0), (490.0, 7.0)][kind as usize];
     let advice = v1::AdvicePolicy { base_ms, per_worker_ms, valid_ms: 2_500 };
     let priority = random.below(3) as u32;
-    let name = format!("queue-{sort}-{priority}");
-    v1::QueuePolicy { advice: (sort > 0).then_some(advice), ..queue(&name, priority) }
+    let name = format!("queue-{kind}-{priority}");
+    v1::QueuePolicy { advice: (kind > 0).then_some(advice), ..queue(&name, priority) }
 }
 
-fn some_plan(random: &mut Random) -> v1::WorkPlan {
+fn random_plan(random: &mut Random) -> v1::WorkPlan {
     let mut steps = Vec::new();
     for _ in 0..=random.below(3) {
-        steps.push(some_step(random));
+        steps.push(random_step(random));
     }
-    // Members of a gang end one by one in the small cell, so no step may wait for it.
+    // Members of a gang end one by one in the simulated cell, so no step may wait for one.
     if random.percent(10) {
         steps.push(v1::WorkStep { gang: true, ..step(2, 2_000, 400) });
     }
     plan(&steps)
 }
 
-fn some_step(random: &mut Random) -> v1::WorkStep {
+fn random_step(random: &mut Random) -> v1::WorkStep {
     let count = 1 + random.below(6) as u32;
     let cpu_milli = 500 + 500 * random.below(12) as u32;
     let base = step(count, cpu_milli, 100 + random.below(1_500) as u32);
@@ -91,13 +91,13 @@
     }
 }
 
-/// An operator plays a day again to find out why a job waited, and it goes another way: the order of some table
-/// of the leader changed from process to process, and decisions with it.
+/// An operator repeated a simulation to find out why a job had waited, and it took another course: the order of one of
+/// the leader's tables changed from process to process, and the decisions with it.
 #[test]
 fn the_same_events_lead_to_the_same_decisions() {
-    for seed in 1..=PLAYS {
-        let digest = play(seed);
+    for seed in 1..=SIMULATIONS {
+        let digest = simulate(seed);
         println!("seed {seed}: {digest:016x}");
-        assert_eq!(digest, play(seed), "seed {seed}");
+        assert_eq!(digest, simulate(seed), "seed {seed}");
     }
 }
--- a/lilacpass-lead/tests/world/mod.rs
+++ b/lilacpass-lead/tests/world/mod.rs
@@ -296,7 +296,7 @@
                 }
             }
             Action::CarryOut { instance, effect, is_answered } => {
-                self.carry_out(instance, effect, is_answered)
+                self.carry_out(instance, effect, is_answered);
             }
             Action::RunRound { instance } => self.run_round(instance),
             Action::PollEnds { instance, worker_index, effect, sent_ms } => {
