--- a/lilacpass-lead/src/counters.rs
+++ b/lilacpass-lead/src/counters.rs
@@ -45,12 +45,12 @@
         self.failed[cause as usize] += 1;
     }
 
-    /// Number of jobs that failed for a cause.
+    /// Number of jobs that failed for the given cause.
     pub fn jobs_failed(&self, cause: Cause) -> u64 {
         self.failed[cause as usize]
     }
 
-    /// Number of workers that were lost in a way.
+    /// Number of workers that were lost in the given way.
     pub fn workers_lost(&self, how: WorkerLoss) -> u64 {
         self.lost[how as usize]
     }
--- a/lilacpass-lead/src/health.rs
+++ b/lilacpass-lead/src/health.rs
@@ -11,8 +11,8 @@
 
 use lilacpass_jobs::JobKey;
 
-/// Jobs whose failures on a worker quarantine it. The tasks of a sound job fail in 0.5 % to 2 % of their runs, so two
-/// failures in a row are most likely caused by the worker.
+/// Number of failed jobs after which a worker is quarantined. The tasks of a sound job fail in 0.5 % to 2 % of their
+/// runs, so two failures in a row are most likely caused by the worker.
 const QUARANTINE_JOBS: usize = 2;
 /// Length of the first quarantine of a worker. Faults of workers last for some seconds.
 const FIRST_QUARANTINE_MS: u64 = 2_000;
--- a/lilacpass-lead/src/leader.rs
+++ b/lilacpass-lead/src/leader.rs
@@ -103,7 +103,9 @@
 #[derive(Debug)]
 pub struct Leader {
     pub(crate) options: Options,
+    /// All jobs that are known, including ended ones until their retention time is over.
     pub(crate) jobs: HashMap<JobKey, JobEntry>,
+    /// Registered workers, and unregistered ones whose runs or crash are not settled yet.
     pub(crate) workers: BTreeMap<WorkerName, Worker>,
     pub(crate) capacity_index: CapacityIndex,
     pub(crate) outbox: Outbox,
@@ -140,15 +142,20 @@
     pub(crate) upcoming_occurrences: BTreeSet<(u64, JobKey)>,
     /// Share of the workers that advice allows, learned for each queue.
     pub(crate) allowed_shares: HashMap<String, f64>,
+    /// Effects collected since the last call of [`Leader::finish`].
     pub(crate) effects: Vec<Effect>,
     /// When the last call was sent by which the store confirmed the leadership, on the steady clock.
     pub(crate) leadership_confirmed_ms: u64,
+    /// When the last append was sent, on the steady clock.
     pub(crate) append_sent_ms: u64,
     /// The latest time at which leases of a former leader expire on a worker that does not respond, on the steady
     /// clock.
     inherited_leases_expire_by_ms: u64,
+    /// When ended jobs are next checked for removal, on the steady clock.
     next_cleanup_ms: u64,
+    /// When all runs are next checked, on the steady clock.
     next_review_ms: u64,
+    /// When the last tick was processed, on the steady clock.
     last_tick_ms: u64,
     /// When the leader last resumed after a stall, on the steady clock.
     pub(crate) last_stall_ms: Option<u64>,
@@ -307,7 +314,7 @@
         now.steady_ms.saturating_sub(self.leadership_confirmed_ms) < MAX_CONFIRMATION_AGE_MS
     }
 
-    /// Whether leases may be extended: only for `outlive_ms` after the last confirmation of the leadership, because a
+    /// Whether leases may be extended: only for `unconfirmed_lease_ms` after the last confirmation of the leadership, because a
     /// successor that can't reach a worker waits that long before it starts the worker's runs elsewhere.
     pub(crate) fn may_extend_leases(&self, now: Now) -> bool {
         now.steady_ms.saturating_sub(self.leadership_confirmed_ms)
--- a/lilacpass-lead/src/orders.rs
+++ b/lilacpass-lead/src/orders.rs
@@ -71,7 +71,7 @@
         let key = (task, run);
         let avoid_ms = self.options.worker_avoidance_ms;
         if result.is_ok() {
-            self.record_job_begun(task.step.job);
+            self.record_job_started(task.step.job);
         }
         let Some(worker) = self.workers.get_mut(name) else { return };
         let Some(assigned) = worker.runs.get(&key).copied() else { return };
--- a/lilacpass-lead/src/polling.rs
+++ b/lilacpass-lead/src/polling.rs
@@ -155,7 +155,7 @@
         let Some(up_to) = new.iter().map(|row| row.number).max() else { return };
         worker.last_seen_end = up_to;
         for row in new {
-            self.record_job_begun(row.task.step.job);
+            self.record_job_started(row.task.step.job);
             self.update_worker_health(name, row.task.step.job, row.end.reason, now);
             self.end_run(name, (row.task, row.end.run), &row.end, now);
         }
@@ -217,7 +217,7 @@
     fn handle_running(&mut self, name: &WorkerName, rows: &[ReportedRun], now: Now) {
         for row in rows {
             let key = (row.task, row.run);
-            self.record_job_begun(row.task.step.job);
+            self.record_job_started(row.task.step.job);
             if let Some(entry) = self.jobs.get_mut(&row.task.step.job) {
                 entry.job.update_checkpoint(row.task, &row.checkpoint);
             }
--- a/lilacpass-lead/src/progress.rs
+++ b/lilacpass-lead/src/progress.rs
@@ -6,14 +6,15 @@
 
 /// Minimum time without progress after which a run is stalled: two regular polls.
 const MIN_STALL_MS: u64 = 1_700;
-/// The same as a percentage of the estimated run time, since a long run takes long for one percent.
+/// Minimum time without progress as a percentage of the estimated run time, since a long run takes long for one
+/// percent.
 const MIN_STALL_PERCENT: u64 = 15;
 /// Minimum time over which the pace of a run is measured.
 const MIN_PACE_TIME_MS: u64 = 500;
 /// A worker is slow if its runs take this many times as long as runs of the same step elsewhere. Tasks of a step are
 /// alike, except that some take up to twice as long as the others.
 const SLOW_WORKER_SLOWDOWN: f64 = 3.0;
-/// The same for a worker of which only one step can be compared.
+/// The required slowdown of a worker of which only one step can be compared.
 const SLOW_WORKER_SINGLE_SLOWDOWN: f64 = 4.5;
 
 /// Whether a worker works at a fraction of the usual speed, given the slowdown of each step that runs both there and
--- a/lilacpass-lead/src/recording.rs
+++ b/lilacpass-lead/src/recording.rs
@@ -36,11 +36,11 @@
         }
     }
 
-    /// Records that a worker has begun a task of a job.
+    /// Records that a worker has started a task of a job.
     ///
     /// The change is stored with the next append. Otherwise a successor that can't reach the worker would report the
     /// job as waiting until the worker responds, although clients have been told that it runs.
-    pub(crate) fn record_job_begun(&mut self, key: JobKey) {
+    pub(crate) fn record_job_started(&mut self, key: JobKey) {
         let Some(entry) = self.jobs.get_mut(&key) else { return };
         if entry.job.mark_started() {
             self.outbox.pending.piggyback_states.insert(key);
--- a/lilacpass-lead/tests/world/mod.rs
+++ b/lilacpass-lead/tests/world/mod.rs
@@ -3,7 +3,7 @@
 //! Each start of a run is checked as it happens. No worker exceeds its capacity; no task runs in two places unless it
 //! may have copies; none starts again after its end was stored, before the steps that it waits for are done, or too
 //! often after it has crashed workers. Each response about waiting or running jobs is checked against the tasks that
-//! workers have begun.
+//! workers have started.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -103,7 +103,7 @@
     pub workers: Vec<Worker>,
     pub instances: Vec<LeaderInstance>,
     pub responses: Vec<(RequestId, Response)>,
-    /// The requests sent to leaders, and the jobs that workers have begun.
+    /// The requests sent to leaders, and the jobs that workers have started.
     pub requests: Requests,
     /// Tasks that crash their workers, and the crashes so far.
     pub crashes: Crashes,
@@ -506,7 +506,7 @@
         }
         let job = self.store.job(task.step.job).expect("a task of a stored job");
         self.check_start(worker_index, task, &job);
-        self.requests.begun.insert(job.key);
+        self.requests.started.insert(job.key);
         let plan = job.step_plan(task.step.step);
         let work_ms = u64::from(plan.estimate_ms).max(1);
         let fails = self.random.percent(3) || self.workers[worker_index].fails_all_runs;
--- a/lilacpass-lead/tests/world/requests.rs
+++ b/lilacpass-lead/tests/world/requests.rs
@@ -1,4 +1,4 @@
-//! Checks the leader's responses about waiting and running jobs against what workers have begun.
+//! Checks the leader's responses about waiting and running jobs against what workers have started.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,11 +7,11 @@
 
 use crate::world::store::Store;
 
-/// The requests sent to leaders, and the jobs that workers have begun.
+/// The requests sent to leaders, and the jobs that workers have started.
 #[derive(Default)]
 pub struct Requests {
-    /// Jobs of which a worker has begun a task.
-    pub begun: BTreeSet<JobKey>,
+    /// Jobs of which a worker has started a task.
+    pub started: BTreeSet<JobKey>,
     sent: BTreeMap<u64, Request>,
     /// Jobs whose clients were told that they are accepted, with their queues.
     accepted: BTreeMap<JobKey, String>,
@@ -42,13 +42,13 @@
             }
             (Request::State(job), Response::State(JobState::Running)) => {
                 assert!(
-                    self.begun.contains(job),
-                    "{job} is reported as running, but no worker has begun it"
+                    self.started.contains(job),
+                    "{job} is reported as running, but no worker has started it"
                 );
             }
             (Request::Pending { queue }, Response::Pending(reported)) => {
                 let is_waiting = |job: &&JobKey| {
-                    !self.begun.contains(job)
+                    !self.started.contains(job)
                         && !self.cancelled.contains(job)
                         && store.job(**job).is_some_and(|job| job.outcome == Outcome::Open)
                 };
