--- a/lilacpass-jobs/src/crashes.rs
+++ b/lilacpass-jobs/src/crashes.rs
@@ -1,63 +1,66 @@
-//! What the crashes of workers under a task say about it.
+//! Counts the worker crashes that happened during runs of a task, to find tasks that crash their workers.
 
 use crate::{end::Suspicion, ids::WorkerName};
 
-/// A crash without a better explanation than the task.
+/// A worker crash for which the task is the best known explanation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Crash {
-    /// The worker that crashed; empty where that is not recorded.
+    /// The worker that crashed; empty if its name is not recorded.
     pub worker: WorkerName,
-    /// What speaks for the task having caused it.
+    /// How strong the evidence against the task is.
     pub suspicion: Suspicion,
 }
 
 /// Crashes of workers that had a run of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Crashes {
-    /// All that are known.
+    /// Number of all known crashes.
     pub known: u32,
-    /// Those of them for which there is no better explanation.
+    /// The known crashes that have no better explanation than the task.
     pub unexplained: Vec<Crash>,
-    /// Number of the last run under which a worker crashed; of a gang several workers may be lost at a time.
+    /// Number of the last run during which a worker crashed. One run of a gang can lose several workers and still
+    /// counts as one crash.
     pub last_run: u32,
 }
 
 impl Crashes {
-    /// Whether the task may crash its next worker, and is to be tried where that does least harm and shows most.
+    /// Returns whether the task may crash its next worker. The scheduler runs such a task on trial, where a crash does
+    /// little harm and gives the clearest evidence.
     pub fn is_suspect(&self) -> bool {
-        /// One without an explanation may be chance, or two that were explained.
-        const MOST_UNEXPLAINED: usize = 1;
-        const MOST_KNOWN: u32 = 2;
-        self.with(Suspicion::Suspect) > 0
-            || self.unexplained.len() > MOST_UNEXPLAINED
-            || self.known > MOST_KNOWN
+        /// A single unexplained crash, or two explained ones, may be a coincidence.
+        const MAX_UNEXPLAINED: usize = 1;
+        const MAX_KNOWN: u32 = 2;
+        self.count_at_least(Suspicion::Suspect) > 0
+            || self.unexplained.len() > MAX_UNEXPLAINED
+            || self.known > MAX_KNOWN
     }
 
-    /// Counts one. Returns whether the task is to be given up.
+    /// Records a crash. Returns whether the task has reached a limit and must not be started again.
     ///
-    /// Twice is enough where no other task can have done it. One that crashes its workers later than that shows,
-    /// or beside others that do, is given up all the same: callers allow two starts after the third crash.
-    pub fn count(&mut self, run: u32, worker: &WorkerName, suspicion: Suspicion) -> bool {
-        const MOST_BLAMED: usize = 2;
-        const MOST_UNEXPLAINED: usize = 3;
-        const MOST_KNOWN: u32 = 5;
+    /// Two crashes suffice if no other task can have caused them. The limit on all known crashes also stops tasks that
+    /// crash their workers too late to be suspected, or next to other suspects: callers allow at most two starts
+    /// after the third crash.
+    pub fn record(&mut self, run: u32, worker: &WorkerName, suspicion: Suspicion) -> bool {
+        const ONLY_SUSPECT_LIMIT: usize = 2;
+        const UNEXPLAINED_LIMIT: usize = 3;
+        const KNOWN_LIMIT: u32 = 5;
         self.last_run = run;
         self.known += 1;
         if suspicion >= Suspicion::Present {
             self.unexplained.push(Crash { worker: worker.clone(), suspicion });
         }
-        self.with(Suspicion::Only) >= MOST_BLAMED
-            || self.unexplained.len() >= MOST_UNEXPLAINED
-            || self.known >= MOST_KNOWN
+        self.count_at_least(Suspicion::Only) >= ONLY_SUSPECT_LIMIT
+            || self.unexplained.len() >= UNEXPLAINED_LIMIT
+            || self.known >= KNOWN_LIMIT
     }
 
-    /// Unexplained crashes of which at least so much speaks for the task having caused them.
-    fn with(&self, least: Suspicion) -> usize {
-        self.unexplained.iter().filter(|crash| crash.suspicion >= least).count()
+    /// Returns the number of unexplained crashes with at least the suspicion `min`.
+    fn count_at_least(&self, min: Suspicion) -> usize {
+        self.unexplained.iter().filter(|crash| crash.suspicion >= min).count()
     }
 
-    /// Another task is found to have crashed a worker: that explains the crash, unless nothing but this task
-    /// can have caused it. Returns whether that changes anything.
+    /// Marks the crash of `worker` as explained by another task, unless only this task can have caused it. Returns
+    /// whether anything changed.
     pub fn explain(&mut self, worker: &WorkerName) -> bool {
         let before = self.unexplained.len();
         self.unexplained
@@ -65,7 +68,7 @@
         self.unexplained.len() < before
     }
 
-    /// Takes back the crash of a worker that lives after all. Returns whether that changes anything.
+    /// Removes the crash of a worker that turned out to be alive. Returns whether anything changed.
     pub fn retract(&mut self, worker: &WorkerName) -> bool {
         let is_counted = self.known > 0;
         self.known = self.known.saturating_sub(1);
@@ -73,8 +76,8 @@
         is_counted
     }
 
-    /// Forgets those that can't have been the task's doing. Returns whether that changes anything.
-    pub fn forget(&mut self) -> bool {
+    /// Removes all crashes, because the task can't have caused them. Returns whether anything changed.
+    pub fn clear(&mut self) -> bool {
         let is_counted = self.known > 0;
         *self = Self { last_run: self.last_run, ..Self::default() };
         is_counted
--- a/lilacpass-jobs/src/end.rs
+++ b/lilacpass-jobs/src/end.rs
@@ -1,24 +1,24 @@
-//! How a run ended.
+//! Why runs end, and the evidence that a task crashed its worker.
 
 use std::{fmt, str::FromStr};
 
 use crate::error::Error;
 
-/// What speaks for a task having crashed its worker.
+/// How strong the evidence is that a task crashed its worker, from weakest to strongest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Suspicion {
-    /// Little: the worker was lost to something that hit others too, or to another task.
+    /// There is a better explanation: the cause of the loss also hit other workers, or it was another task.
     Cleared,
-    /// It was there, and the worker had lived on after its start.
+    /// The task was on the worker, but the worker had survived the start of the task.
     Present,
-    /// The worker is not known to have lived on after its start.
+    /// The worker is not known to have survived the start of the task.
     Suspect,
-    /// The same of no other task there, and the worker had told of its start.
+    /// As `Suspect`, and it holds for no other task on the worker, and the worker had reported the start of the task.
     Only,
 }
 
 impl Suspicion {
-    /// The name in logs.
+    /// The name that is written to logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Cleared => "cleared",
@@ -29,30 +29,30 @@
     }
 }
 
-/// How a run ended, as its worker tells.
+/// Why a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EndReason {
-    /// It did its work.
+    /// The task finished its work.
     Done,
-    /// It failed, by its own fault or the worker's. Counts as an attempt.
+    /// The run failed, because of the task or the worker. Counts as an attempt.
     Failed,
-    /// It was told to stop.
+    /// The worker stopped the run on request.
     Stopped,
-    /// Its lease ran out, or its worker left.
+    /// The lease of the worker expired, or the worker left the cell.
     Expired,
-    /// Its worker crashed.
+    /// The worker crashed; the leader infers this, no worker reports it.
     Crashed(Suspicion),
-    /// Another member of its gang ended.
+    /// Another member of the gang ended.
     GangBroken,
-    /// It waited for the other members of its gang in vain.
+    /// The other members of the gang did not start in time.
     GangIncomplete,
-    /// It was never started, and can't be any more.
+    /// The run never started, and its start order is no longer valid.
     NeverStarted,
 }
 
 impl EndReason {
-    /// Those with a name that is read; that a worker crashed is no worker's word.
-    const READ: [Self; 7] = [
+    /// The reasons that a worker can report, and that are parsed from text. `Crashed` is not one of them.
+    const REPORTED: [Self; 7] = [
         Self::Done,
         Self::Failed,
         Self::Stopped,
@@ -62,7 +62,7 @@
         Self::NeverStarted,
     ];
 
-    /// The name in messages and logs.
+    /// The name in messages and logs. It is part of the protocol with the workers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Done => "done",
@@ -87,17 +87,20 @@
     type Err = Error;
 
     fn from_str(s: &str) -> Result<Self, Error> {
-        Self::READ.into_iter().find(|how| how.as_str() == s).ok_or_else(|| Error::name("end", s))
+        Self::REPORTED
+            .into_iter()
+            .find(|reason| reason.as_str() == s)
+            .ok_or_else(|| Error::name("end", s))
     }
 }
 
 /// The end of one run of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunEnd {
-    /// Number of the run.
+    /// Number of the run that ended.
     pub run: u32,
-    /// How it ended.
+    /// Why the run ended.
     pub reason: EndReason,
-    /// The progress that was saved; empty where there is none.
+    /// The progress that the run saved; empty if there is none.
     pub checkpoint: String,
 }
--- a/lilacpass-jobs/src/error.rs
+++ b/lilacpass-jobs/src/error.rs
@@ -1,4 +1,4 @@
-//! The error type of jobs.
+//! The error type of this crate.
 
 use quick_error::quick_error;
 
@@ -8,18 +8,18 @@
 pub type Result<T> = std::result::Result<T, Error>;
 
 quick_error! {
-    /// What can be wrong with a job or a record of one.
+    /// An invalid name, plan or record of a job.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Error {
-        /// The text does not have the form of the name that was expected.
-        Name(what: &'static str, text: String) {
-            display("{text:?} is not a valid {what}")
+        /// A text does not parse as a name of the expected kind.
+        Name(kind: &'static str, text: String) {
+            display("{text:?} is not a valid {kind}")
         }
-        /// The plan of a job asks for something that can't be done.
+        /// A field of the plan of a job has a value that can't be carried out.
         Plan(field: Field, reason: String) {
             display("{field}: {reason}")
         }
-        /// A record does not decode, or contradicts its plan.
+        /// A record of a job does not decode, or contradicts the plan of the job.
         Record(reason: String) {
             display("record: {reason}")
         }
@@ -27,9 +27,9 @@
 }
 
 impl Error {
-    /// A name that does not parse, cut to a length that fits a log line.
-    pub fn name(what: &'static str, text: &str) -> Self {
+    /// Returns the error for a `text` that does not parse as a `kind`. The text is truncated to fit a log line.
+    pub fn name(kind: &'static str, text: &str) -> Self {
         const MAX_SHOWN_CHARS: usize = 64;
-        Self::Name(what, text.chars().take(MAX_SHOWN_CHARS).collect())
+        Self::Name(kind, text.chars().take(MAX_SHOWN_CHARS).collect())
     }
 }
--- a/lilacpass-jobs/src/failure.rs
+++ b/lilacpass-jobs/src/failure.rs
@@ -1,15 +1,15 @@
-//! Why a job has failed.
+//! The reason for which a job failed.
 
 use std::fmt;
 
 use crate::ids::TaskName;
 
-/// What made a task be given up.
+/// The limit that a task exceeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Cause {
-    /// Its runs ended as failed.
+    /// Too many runs of the task failed.
     Attempts,
-    /// Workers crashed under it.
+    /// Too many workers crashed while they ran the task.
     Crashes,
 }
 
@@ -17,7 +17,7 @@
     /// All causes.
     pub const ALL: [Self; 2] = [Self::Attempts, Self::Crashes];
 
-    /// The name in logs and metrics.
+    /// The name that is written to logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Attempts => "attempts",
@@ -26,14 +26,14 @@
     }
 }
 
-/// Why a job has failed.
+/// The reason for which a job failed. Its `Display` text is shown to clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// The task that was given up.
+    /// The task that exceeded a limit.
     pub task: TaskName,
-    /// What made it be given up.
+    /// The limit that was exceeded.
     pub cause: Cause,
-    /// Failed runs, or workers that crashed.
+    /// Number of failed runs or crashed workers, depending on `cause`.
     pub count: u32,
 }
 
--- a/lilacpass-jobs/src/ids.rs
+++ b/lilacpass-jobs/src/ids.rs
@@ -1,13 +1,13 @@
-//! Names of jobs, steps, tasks and workers, with the text form in which they travel.
+//! Names of jobs, steps, tasks and workers, and their text form in messages and records.
 
 use std::{cmp::Ordering, fmt, str::FromStr, sync::Arc};
 
 use crate::error::Error;
 
-/// Digits of a job key in its text form.
+/// Number of digits of a job key in its text form.
 const JOB_KEY_DIGITS: usize = 16;
 
-/// A job, as its caller named it: 16 hexadecimal digits.
+/// The name that a client gave to a job, written as 16 lower-case hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobKey(pub u64);
 
@@ -21,28 +21,28 @@
     type Err = Error;
 
     fn from_str(s: &str) -> Result<Self, Error> {
-        let well_formed =
+        let is_well_formed =
             s.len() == JOB_KEY_DIGITS && s.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
-        if !well_formed {
+        if !is_well_formed {
             return Err(Error::name("job id", s));
         }
         u64::from_str_radix(s, 16).map(Self).map_err(|_| Error::name("job id", s))
     }
 }
 
-/// A step of one occurrence of a job: `JOB.OCCURRENCE.STEP`.
+/// The name of a step in one occurrence of a job, written as `JOB.OCCURRENCE.STEP`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StepName {
-    /// The job.
+    /// The job that the step belongs to.
     pub job: JobKey,
-    /// Which occurrence, from 0.
+    /// Number of the occurrence, starting at 0.
     pub occurrence: u32,
-    /// Which step, from 0.
+    /// Number of the step in the plan of the job, starting at 0.
     pub step: u32,
 }
 
 impl StepName {
-    /// The task of this step with the given index.
+    /// Returns the name of the task of this step with the given index.
     pub fn task(self, index: u32) -> TaskName {
         TaskName { step: self, index }
     }
@@ -54,12 +54,12 @@
     }
 }
 
-/// A task of a step: `JOB.OCCURRENCE.STEP.INDEX`.
+/// The name of a task, written as `JOB.OCCURRENCE.STEP.INDEX`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskName {
-    /// The step.
+    /// The step that the task belongs to.
     pub step: StepName,
-    /// Which task, from 0.
+    /// Index of the task within the step, starting at 0.
     pub index: u32,
 }
 
@@ -73,38 +73,38 @@
     type Err = Error;
 
     fn from_str(s: &str) -> Result<Self, Error> {
-        let wrong = || Error::name("task name", s);
+        let invalid = || Error::name("task name", s);
         let mut parts = s.split('.');
-        let mut next = || parts.next().ok_or_else(wrong);
+        let mut next = || parts.next().ok_or_else(invalid);
         let job = next()?.parse()?;
-        let occurrence = number(next()?).ok_or_else(wrong)?;
-        let step = number(next()?).ok_or_else(wrong)?;
-        let index = number(next()?).ok_or_else(wrong)?;
+        let occurrence = parse_canonical(next()?).ok_or_else(invalid)?;
+        let step = parse_canonical(next()?).ok_or_else(invalid)?;
+        let index = parse_canonical(next()?).ok_or_else(invalid)?;
         if parts.next().is_some() {
-            return Err(wrong());
+            return Err(invalid());
         }
         Ok(StepName { job, occurrence, step }.task(index))
     }
 }
 
-/// A number as names hold it: digits alone, without zeros ahead.
-fn number(text: &str) -> Option<u32> {
-    let digits = text.bytes().all(|b| b.is_ascii_digit());
-    let canonical = digits && (text == "0" || !text.starts_with('0'));
-    text.parse().ok().filter(|_| canonical)
+/// Parses a number in the only form that names use: digits, without a sign or leading zeros.
+fn parse_canonical(text: &str) -> Option<u32> {
+    let is_digits = text.bytes().all(|b| b.is_ascii_digit());
+    let is_canonical = is_digits && (text == "0" || !text.starts_with('0'));
+    text.parse().ok().filter(|_| is_canonical)
 }
 
-/// One life of a worker. Cheap to clone and to compare.
+/// The name of one incarnation of a worker. Cheap to clone and to compare.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct WorkerName {
-    /// The first bytes of the name, as a number that orders as they do. Maps of a thousand workers compare names
-    /// hundreds of thousands of times a second, and mostly need no more than this.
+    /// The first 8 bytes of the name as a big-endian number, which sorts like the bytes. Maps of a thousand workers
+    /// compare names hundreds of thousands of times a second, and this prefix usually decides.
     prefix: u64,
     name: Arc<str>,
 }
 
 impl WorkerName {
-    /// The name as text.
+    /// Returns the name as text.
     pub fn as_str(&self) -> &str {
         &self.name
     }
@@ -120,7 +120,7 @@
 }
 
 impl Ord for WorkerName {
-    /// As the names order.
+    /// Compares the names as text.
     fn cmp(&self, other: &Self) -> Ordering {
         self.prefix.cmp(&other.prefix).then_with(|| self.name.cmp(&other.name))
     }
--- a/lilacpass-jobs/src/job.rs
+++ b/lilacpass-jobs/src/job.rs
@@ -1,4 +1,4 @@
-//! A job: which tasks may start, and what the end of a run means for it.
+//! The state machine of a job: which steps may start, and how the end of a run changes the job.
 
 use std::sync::Arc;
 
@@ -11,22 +11,22 @@
     task::{Run, Task},
 };
 
-/// What has become of a job.
+/// Whether a job is open, and how it ended if it is not.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// Its tasks wait, run or repeat.
+    /// The job has tasks that wait, run or are due later.
     #[default]
     Open,
     /// All tasks are done.
     Completed,
-    /// A task or a gang has failed too often, or crashed its workers.
+    /// A task or a gang failed too often, or crashed too many workers.
     Failed,
-    /// Its caller has cancelled it.
+    /// The client cancelled the job.
     Cancelled,
 }
 
 impl Outcome {
-    /// The name in logs.
+    /// The name that is written to logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Open => "open",
@@ -37,64 +37,64 @@
     }
 }
 
-/// A step of one occurrence.
+/// The state of a step in one occurrence of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// Its tasks.
+    /// The tasks of the step, by index.
     pub tasks: Vec<Task>,
 }
 
 impl Step {
-    /// Whether all tasks are done.
+    /// Returns whether all tasks are done.
     pub fn is_done(&self) -> bool {
         self.tasks.iter().all(|task| task.done)
     }
 
-    /// Whether all tasks wait, as a gang needs before its next run.
+    /// Returns whether all tasks are waiting. A gang can only start in this state.
     pub fn all_waiting(&self) -> bool {
         self.tasks.iter().all(Task::is_waiting)
     }
 }
 
-/// A job with all its occurrences.
+/// The state of a job with all its occurrences.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
-    /// Its name.
+    /// Name of the job.
     pub key: JobKey,
-    /// What the caller asked for.
+    /// The plan that the client submitted.
     pub plan: v1::WorkPlan,
-    /// How its queue treats it, as of its acceptance.
+    /// Policy of the queue of the job at the time of its acceptance.
     pub queue: v1::QueuePolicy,
-    /// Time of day of its acceptance, in milliseconds since 1970.
+    /// Time of acceptance, in milliseconds since 1970.
     pub accepted_ms: u64,
-    /// What has become of it.
+    /// Whether the job is open, and how it ended if it is not.
     pub outcome: Outcome,
-    /// Why it failed, if it did.
+    /// The reason of the failure; `None` unless the job failed.
     pub failure: Option<Failure>,
-    /// Time of day at which the outcome was known, in milliseconds since 1970; 0 while open.
+    /// Time at which the job ended, in milliseconds since 1970; 0 while it is open.
     pub ended_ms: u64,
-    /// A worker is known to have begun a task. Runs that were only given out don't count: their orders
-    /// may never have arrived.
+    /// Whether a worker is known to have started a task. Runs that are only assigned don't count, because their
+    /// start orders may never have arrived.
     pub has_started: bool,
-    /// Per occurrence, its steps.
+    /// The steps of each occurrence, by number of the occurrence.
     pub occurrences: Vec<Vec<Step>>,
 }
 
-/// What the end of a run changed.
+/// How the end of a run changed its job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The run was not known any more; nothing changed.
+    /// The run was no longer known, so nothing changed.
     None,
-    /// The task may start again, or copies of it go on.
+    /// The task may start again, or a copy of it is still running.
     Waiting,
     /// The task is done.
     TaskDone,
-    /// The job has come to its outcome.
+    /// The job reached its outcome.
     JobEnded,
 }
 
 impl Job {
-    /// A job that has just been accepted.
+    /// Creates a newly accepted job.
     pub fn new(key: JobKey, record: v1::PlanRecord) -> Self {
         let plan = record.plan.unwrap_or_default();
         let occurrence: Vec<Step> = plan
@@ -116,28 +116,28 @@
         }
     }
 
-    /// What the caller asked for in a step.
+    /// Returns the plan of a step.
     pub fn step_plan(&self, step: u32) -> &v1::WorkStep {
         &self.plan.steps[step as usize]
     }
 
-    /// The state of a step, if the job has it.
+    /// Returns the state of a step, or `None` if the job has no such step.
     pub fn step(&self, name: StepName) -> Option<&Step> {
         self.occurrences.get(name.occurrence as usize)?.get(name.step as usize)
     }
 
-    /// A task, if the job has it.
+    /// Returns the state of a task, or `None` if the job has no such task.
     pub fn task(&self, name: TaskName) -> Option<&Task> {
         self.step(name.step)?.tasks.get(name.index as usize)
     }
 
-    /// A task, to be changed.
+    /// Returns the state of a task for modification, or `None` if the job has no such task.
     pub fn task_mut(&mut self, name: TaskName) -> Option<&mut Task> {
         let steps = self.occurrences.get_mut(name.step.occurrence as usize)?;
         steps.get_mut(name.step.step as usize)?.tasks.get_mut(name.index as usize)
     }
 
-    /// When an occurrence is due, as time of day in milliseconds since 1970; 0 is at once.
+    /// Returns the time at which an occurrence is due, in milliseconds since 1970; 0 means at once.
     pub fn due_ms(&self, occurrence: u32) -> u64 {
         if self.plan.repeat_count == 0 {
             return 0;
@@ -145,7 +145,7 @@
         self.plan.first_run_ms + u64::from(occurrence) * self.plan.interval_ms
     }
 
-    /// Names of all steps, in order.
+    /// Returns the names of all steps, by occurrence and then by step.
     pub fn step_names(&self) -> impl Iterator<Item = StepName> + use<> {
         let job = self.key;
         let steps = self.plan.steps.len() as u32;
@@ -155,12 +155,12 @@
         })
     }
 
-    /// Names of the tasks of a step.
+    /// Returns the names of all tasks of a step.
     pub fn task_names(&self, step: StepName) -> impl Iterator<Item = TaskName> + use<> {
         (0..self.step_plan(step.step).count).map(move |index| step.task(index))
     }
 
-    /// Whether all steps that this one waits for are done and its time has come.
+    /// Returns whether the job is open, the occurrence is due and all steps that this one depends on are done.
     pub fn step_may_start(&self, name: StepName, unix_ms: u64) -> bool {
         let Some(steps) = self.occurrences.get(name.occurrence as usize) else { return false };
         self.outcome == Outcome::Open
@@ -172,14 +172,14 @@
                 .all(|&earlier| steps[earlier as usize].is_done())
     }
 
-    /// Notes that a worker has begun a task. Returns whether that is news.
+    /// Records that a worker has started a task. Returns whether this was not known before.
     pub fn mark_started(&mut self) -> bool {
-        let is_news = !self.has_started;
+        let is_changed = !self.has_started;
         self.has_started = true;
-        is_news
+        is_changed
     }
 
-    /// All tasks.
+    /// Returns all tasks of all occurrences.
     pub fn tasks(&self) -> impl Iterator<Item = &Task> {
         self.occurrences.iter().flatten().flat_map(|step| &step.tasks)
     }
@@ -188,7 +188,7 @@
         self.occurrences.iter_mut().flatten().flat_map(|step| &mut step.tasks)
     }
 
-    /// Names of all runs that may be on workers.
+    /// Returns all runs that may be on workers, with the names of their tasks.
     pub fn live_runs(&self) -> Vec<(TaskName, Run)> {
         let mut live = Vec::new();
         for step in self.step_names() {
@@ -200,7 +200,7 @@
         live
     }
 
-    /// Gives the next run of a task to a worker in a data centre. Returns its number.
+    /// Assigns the next run of a task to a worker in a data centre. Returns the number of the run.
     pub fn assign_run(
         &mut self,
         name: TaskName,
@@ -214,7 +214,8 @@
         Some(number)
     }
 
-    /// Gives the next run of a gang to its workers, one per task. All members share the number.
+    /// Assigns the next run of a gang to its workers, one per task. Returns the number of the run, which all members
+    /// share.
     pub fn assign_gang(
         &mut self,
         name: StepName,
@@ -231,17 +232,17 @@
         Some(number)
     }
 
-    /// The saved progress with which a task starts next. Members of a gang share theirs.
+    /// Returns the checkpoint from which the next run of a task starts. All members of a gang share one checkpoint.
     pub fn checkpoint(&self, name: TaskName) -> &str {
-        let shared = self.step_plan(name.step.step).gang;
-        let holder = if shared { name.step.task(0) } else { name };
+        let is_shared = self.step_plan(name.step.step).gang;
+        let holder = if is_shared { name.step.task(0) } else { name };
         self.task(holder).map(|task| task.checkpoint.as_str()).unwrap_or_default()
     }
 
-    /// Notes progress that a worker reports of a run.
+    /// Stores a checkpoint that a worker reports for a run. Does nothing if it is empty.
     pub fn update_checkpoint(&mut self, name: TaskName, checkpoint: &str) {
-        let shared = self.step_plan(name.step.step).gang;
-        let holder = if shared { name.step.task(0) } else { name };
+        let is_shared = self.step_plan(name.step.step).gang;
+        let holder = if is_shared { name.step.task(0) } else { name };
         if checkpoint.is_empty() || self.checkpoint(holder) == checkpoint {
             return;
         }
@@ -250,7 +251,7 @@
         }
     }
 
-    /// Notes the end of a run on a worker. `unix_ms` is the time of day.
+    /// Handles the end of a run on a worker. `unix_ms` is the time of day, in milliseconds since 1970.
     pub fn end_run(
         &mut self,
         name: TaskName,
@@ -259,18 +260,18 @@
         unix_ms: u64,
     ) -> Change {
         let Some(task) = self.task_mut(name) else { return Change::None };
-        let known = task.runs.len();
+        let runs_before = task.runs.len();
         task.runs.retain(|run| run.number != end.run || run.worker != *worker);
-        let was_given_up = task.runs.len() == known;
-        // A run that was given up because its worker was silent may have done its work all the same.
-        let counts_late = end.reason == EndReason::Done && !task.done;
-        if was_given_up && !counts_late {
+        let is_unknown = task.runs.len() == runs_before;
+        // A run that was dropped because its worker was unresponsive may still have finished its work.
+        let is_late_success = end.reason == EndReason::Done && !task.done;
+        if is_unknown && !is_late_success {
             return Change::None;
         }
         self.update_checkpoint(name, &end.checkpoint);
         match end.reason {
-            EndReason::Done => self.task_done(name, unix_ms),
-            EndReason::Failed => self.task_failed(name, end.run, unix_ms),
+            EndReason::Done => self.handle_task_done(name, unix_ms),
+            EndReason::Failed => self.handle_task_failed(name, end.run, unix_ms),
             EndReason::Crashed(suspicion) => {
                 self.record_crash(name, end.run, worker, suspicion, unix_ms)
             }
@@ -282,7 +283,7 @@
         }
     }
 
-    fn task_done(&mut self, name: TaskName, unix_ms: u64) -> Change {
+    fn handle_task_done(&mut self, name: TaskName, unix_ms: u64) -> Change {
         let plan = self.step_plan(name.step.step);
         if plan.lasting {
             return Change::Waiting;
@@ -293,27 +294,27 @@
         };
         let tasks = &mut steps[name.step.step as usize].tasks;
         if gang {
-            // The members end together; one end stands for all.
+            // The members of a gang finish together, so the end of one member counts for all.
             tasks.iter_mut().for_each(|task| task.done = true);
         } else {
             tasks[name.index as usize].done = true;
         }
         let all_done = self.occurrences.iter().flatten().all(Step::is_done);
         if self.outcome == Outcome::Open && all_done {
-            return self.close(Outcome::Completed, unix_ms);
+            return self.end(Outcome::Completed, unix_ms);
         }
         Change::TaskDone
     }
 
-    fn task_failed(&mut self, name: TaskName, run: u32, unix_ms: u64) -> Change {
+    fn handle_task_failed(&mut self, name: TaskName, run: u32, unix_ms: u64) -> Change {
         let plan = self.step_plan(name.step.step);
         if plan.lasting {
             return Change::Waiting;
         }
-        let counted = self.counted_task(name);
+        let counting = self.counting_task(name);
         let attempts = self.queue.attempts.max(1);
-        let Some(task) = self.task_mut(counted) else { return Change::None };
-        // Of a gang each member reports the failure of the same run.
+        let Some(task) = self.task_mut(counting) else { return Change::None };
+        // Every member of a gang reports the failure of the same run; it counts once.
         if task.done || run == task.failed_run {
             return Change::Waiting;
         }
@@ -323,10 +324,10 @@
         if count < attempts {
             return Change::Waiting;
         }
-        self.give_up(Failure { task: name, cause: Cause::Attempts, count }, unix_ms)
+        self.fail(Failure { task: name, cause: Cause::Attempts, count }, unix_ms)
     }
 
-    /// Notes that a worker has crashed under a run, which is not on it any more.
+    /// Records that a worker crashed during a run. The run must already have been removed from the worker.
     pub fn record_crash(
         &mut self,
         name: TaskName,
@@ -335,87 +336,88 @@
         suspicion: Suspicion,
         unix_ms: u64,
     ) -> Change {
-        let counted = self.counted_task(name);
-        let Some(task) = self.task_mut(counted) else { return Change::None };
-        // Of a gang several members may have lost their workers.
+        let counting = self.counting_task(name);
+        let Some(task) = self.task_mut(counting) else { return Change::None };
+        // Several members of a gang may have lost their workers in the same run; it counts once.
         if task.done || run == task.crashes.last_run {
             return Change::Waiting;
         }
-        let is_spent = task.crashes.count(run, worker, suspicion);
+        let is_over_limit = task.crashes.record(run, worker, suspicion);
         let count = task.crashes.known;
-        if !is_spent {
+        if !is_over_limit {
             return Change::Waiting;
         }
-        self.give_up(Failure { task: name, cause: Cause::Crashes, count }, unix_ms)
+        self.fail(Failure { task: name, cause: Cause::Crashes, count }, unix_ms)
     }
 
-    /// The task by which runs are counted: the members of a gang fail together.
-    fn counted_task(&self, name: TaskName) -> TaskName {
+    /// Returns the task that counts failed runs and crashes. All members of a gang use the first one, because they
+    /// fail together.
+    fn counting_task(&self, name: TaskName) -> TaskName {
         if self.step_plan(name.step.step).gang { name.step.task(0) } else { name }
     }
 
-    /// Whether a task may crash its next worker.
+    /// Returns whether a task may crash its next worker.
     pub fn is_suspected(&self, name: TaskName) -> bool {
-        self.task(self.counted_task(name)).is_some_and(|task| task.crashes.is_suspect())
+        self.task(self.counting_task(name)).is_some_and(|task| task.crashes.is_suspect())
     }
 
-    /// A run has worked for so long that the crashes before can't have been its task's doing. Returns
-    /// whether that is news.
+    /// Removes the crashes of a task after a run that lasted so long that the task can't have caused them. Returns
+    /// whether anything changed.
     pub fn clear_crashes(&mut self, name: TaskName) -> bool {
-        let counted = self.counted_task(name);
-        self.task_mut(counted).is_some_and(|task| task.crashes.forget())
+        let counting = self.counting_task(name);
+        self.task_mut(counting).is_some_and(|task| task.crashes.clear())
     }
 
-    /// A worker that was counted as crashed under a task had only been there, and lives. Returns whether that changes
-    /// anything.
+    /// Removes a crash of a worker that turned out to be alive. Returns whether anything changed.
     pub fn retract_crash(&mut self, name: TaskName, worker: &WorkerName) -> bool {
-        let counted = self.counted_task(name);
-        self.task_mut(counted).is_some_and(|task| task.crashes.retract(worker))
+        let counting = self.counting_task(name);
+        self.task_mut(counting).is_some_and(|task| task.crashes.retract(worker))
     }
 
-    /// Workers that crashed under a task without a better explanation, as far as their names are recorded.
+    /// Returns the workers whose crashes have no better explanation than this task, as far as their names are
+    /// recorded.
     pub fn crashed_workers(&self, name: TaskName) -> Vec<WorkerName> {
-        let task = self.task(self.counted_task(name));
+        let task = self.task(self.counting_task(name));
         let crashes = task.into_iter().flat_map(|task| &task.crashes.unexplained);
         let workers = crashes.map(|crash| &crash.worker);
         workers.filter(|worker| !worker.as_str().is_empty()).cloned().collect()
     }
 
-    /// Whether a worker has crashed under any of its tasks.
+    /// Returns whether a worker crashed while it ran a task of this job.
     pub fn has_crashes(&self) -> bool {
         self.tasks().any(|task| task.crashes.known > 0)
     }
 
-    /// Workers are found to have been crashed by another job's task. Returns whether that explains a crash under one of
-    /// these.
+    /// Marks the crashes of `workers` as caused by a task of another job. Returns whether this explains a crash that
+    /// was counted against a task of this job.
     pub fn explain_crashes(&mut self, workers: &[WorkerName]) -> bool {
-        let mut is_news = false;
+        let mut is_changed = false;
         for task in self.tasks_mut() {
             for worker in workers {
-                is_news |= task.crashes.explain(worker);
+                is_changed |= task.crashes.explain(worker);
             }
         }
-        is_news
+        is_changed
     }
 
-    fn give_up(&mut self, failure: Failure, unix_ms: u64) -> Change {
+    fn fail(&mut self, failure: Failure, unix_ms: u64) -> Change {
         if self.outcome != Outcome::Open {
             return Change::Waiting;
         }
         self.failure = Some(failure);
-        self.close(Outcome::Failed, unix_ms)
+        self.end(Outcome::Failed, unix_ms)
     }
 
-    /// Notes that the caller wants the job cancelled. Returns whether that changed anything.
+    /// Cancels the job if it is open. Returns whether it was.
     pub fn cancel(&mut self, unix_ms: u64) -> bool {
         if self.outcome != Outcome::Open {
             return false;
         }
-        self.close(Outcome::Cancelled, unix_ms);
+        self.end(Outcome::Cancelled, unix_ms);
         true
     }
 
-    fn close(&mut self, outcome: Outcome, unix_ms: u64) -> Change {
+    fn end(&mut self, outcome: Outcome, unix_ms: u64) -> Change {
         self.outcome = outcome;
         self.ended_ms = unix_ms;
         Change::JobEnded
--- a/lilacpass-jobs/src/lib.rs
+++ b/lilacpass-jobs/src/lib.rs
@@ -1,8 +1,7 @@
-//! Jobs of several steps as a pure state machine: tasks, runs, gangs, attempts, checkpoints.
+//! Jobs of several steps as a pure state machine: tasks, runs, gangs, attempts and checkpoints.
 //!
-//! Nothing here performs I/O or reads a clock. The owner of a job feeds the ends of runs into
-//! [`Job`] and asks it which tasks may start; what must survive the owner is read and written as
-//! records by [`record`].
+//! Nothing in this crate performs I/O or reads a clock. The leader reports the ends of runs to a [`Job`] and asks it
+//! which steps may start. [`record`] encodes the state that must survive the leader.
 
 pub mod crashes;
 pub mod end;
--- a/lilacpass-jobs/src/plan.rs
+++ b/lilacpass-jobs/src/plan.rs
@@ -1,4 +1,4 @@
-//! Checks of a plan that a caller hands in.
+//! Validation of the plan of a submitted job.
 
 use std::fmt;
 
@@ -6,43 +6,43 @@
 
 use crate::error::{Error, Result};
 
-/// Longest payload, in bytes; the platform's bound for what a task is told to do.
+/// Maximum length of a payload. The platform accepts no longer payload for a task.
 pub const MAX_PAYLOAD_BYTES: usize = 4_000;
-/// Most steps of a job. Far above what callers use; bounds memory for hostile input.
+/// Maximum number of steps of a job. Far above what clients use; bounds memory for hostile input.
 pub const MAX_STEPS: usize = 100;
-/// Most tasks of a job over all steps. Keeps the record of a job's state within one record of the
-/// store: 48 to 63 bytes for a task that runs, the longer the names of workers and data centres.
+/// Maximum number of tasks of a job in all steps and occurrences. Keeps the state of a job within one record of the
+/// store: a running task takes 48 to 63 bytes, depending on the lengths of the names of its worker and data centre.
 pub const MAX_TASKS: u64 = 4_000;
-/// Most occurrences of a job; bounds memory together with [`MAX_TASKS`].
+/// Maximum number of occurrences of a job; bounds memory together with [`MAX_TASKS`].
 pub const MAX_REPEATS: u32 = 1_000;
 
-/// Most bytes of the labels, racks and images of all steps. Keeps the record of a plan well within one record of
-/// the store, 262,144 bytes, so that no job makes an append that the store never takes.
+/// Maximum total length of the labels, racks and images of all steps. Keeps the plan well within one record of the
+/// store, which holds 262,144 bytes, so that no job causes an append that the store always refuses.
 pub const MAX_LABEL_BYTES: usize = 65_536;
-/// Latest time at which an occurrence may be due, in milliseconds since 1970: the end of the year 9999. Sums of
-/// times stay far below the largest number.
+/// Latest time at which an occurrence may be due, in milliseconds since 1970: the end of the year 9999. Sums of times
+/// stay far below the overflow of `u64`.
 pub const MAX_DUE_MS: u64 = 253_402_300_799_999;
 
-/// What of a plan is refused.
+/// The field of a plan that is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Field {
-    /// The payload.
+    /// The payload of the tasks.
     Payload,
     /// The list of steps.
     Steps,
-    /// How often the steps run.
+    /// The number of occurrences.
     RepeatCount,
-    /// When they run, and how often.
+    /// The due time of the first occurrence and the interval between occurrences.
     Times,
-    /// Labels, racks and images of all steps.
+    /// The labels, racks and images of all steps together.
     Labels,
-    /// The number of tasks of all steps and occurrences.
+    /// The number of tasks in all steps and occurrences.
     Tasks,
-    /// The number of tasks of a step.
+    /// The number of tasks of the step with this number.
     Count(usize),
-    /// What a step waits for.
+    /// The steps that the step with this number depends on.
     After(usize),
-    /// Whether a step may have copies.
+    /// Whether the step with this number may have speculative copies.
     Speculative(usize),
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// Refuses a plan that no cell could carry out, with the field that is wrong.
+/// Returns an error with the invalid field if no cell could carry out the plan.
 pub fn check(plan: &v1::WorkPlan) -> Result<()> {
     if plan.payload.len() > MAX_PAYLOAD_BYTES {
         let bytes = plan.payload.len();
@@ -86,18 +86,18 @@
         check_step(number, step)?;
     }
     let tasks: u64 = plan.steps.iter().map(|step| u64::from(step.count)).sum();
-    let all = tasks * u64::from(plan.repeat_count.max(1));
-    if all > MAX_TASKS {
-        return refuse(Field::Tasks, format!("{all} tasks; at most {MAX_TASKS} are allowed"));
+    let total = tasks * u64::from(plan.repeat_count.max(1));
+    if total > MAX_TASKS {
+        return refuse(Field::Tasks, format!("{total} tasks; at most {MAX_TASKS} are allowed"));
     }
     Ok(())
 }
 
 fn check_labels(plan: &v1::WorkPlan) -> Result<()> {
-    let of_step = |step: &v1::WorkStep| {
+    let label_bytes = |step: &v1::WorkStep| {
         step.required_label.len() + step.affinity_rack.len() + step.image.len()
     };
-    let bytes: usize = plan.steps.iter().map(of_step).sum();
+    let bytes: usize = plan.steps.iter().map(label_bytes).sum();
     if bytes > MAX_LABEL_BYTES {
         let reason = format!("{bytes} bytes in all steps; at most {MAX_LABEL_BYTES} are allowed");
         return refuse(Field::Labels, reason);
--- a/lilacpass-jobs/src/record.rs
+++ b/lilacpass-jobs/src/record.rs
@@ -1,4 +1,5 @@
-//! Jobs as records of a keyed log: one record for the plan, written once, and one for the state.
+//! Encoding of jobs as records of a keyed log. Each job has one record for its plan, which is written once, and one
+//! for its state.
 
 use std::sync::Arc;
 
@@ -17,29 +18,29 @@
 
 const PLAN_PREFIX: char = 'p';
 const STATE_PREFIX: char = 's';
-/// Most bytes of the state of a job. The store takes records of 262,144 bytes with their keys.
+/// Maximum length of the state of a job. The store accepts records of up to 262,144 bytes, including the key.
 const MAX_STATE_BYTES: usize = 262_000;
 
-/// What the key of a record stands for.
+/// The parsed key of a record of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Key {
-    /// The plan of a job.
+    /// Key of the plan of a job.
     Plan(JobKey),
-    /// The state of a job.
+    /// Key of the state of a job.
     State(JobKey),
 }
 
-/// The key under which the plan of a job is kept.
+/// Returns the key of the plan of a job.
 pub fn plan_key(job: JobKey) -> String {
     format!("{PLAN_PREFIX}{job}")
 }
 
-/// The key under which the state of a job is kept.
+/// Returns the key of the state of a job.
 pub fn state_key(job: JobKey) -> String {
     format!("{STATE_PREFIX}{job}")
 }
 
-/// Reads the key of a record; none where it is not of a job.
+/// Parses the key of a record. Returns `None` if the record does not belong to a job.
 pub fn parse_key(key: &str) -> Option<Key> {
     let job = key.get(1..)?.parse().ok()?;
     match key.chars().next()? {
@@ -49,7 +50,7 @@
     }
 }
 
-/// The plan of a job as a record.
+/// Encodes the plan of a job.
 pub fn encode_plan(job: &Job) -> Vec<u8> {
     v1::PlanRecord {
         plan: Some(job.plan.clone()),
@@ -59,14 +60,15 @@
     .encode_to_vec()
 }
 
-/// The state of a job as a record.
+/// Encodes the state of a job. A state that would be too long for the store loses its long checkpoints and, if that
+/// is not enough, the names of crashed workers.
 pub fn encode_state(job: &Job) -> Vec<u8> {
     let mut tasks = Vec::new();
     for step in job.step_names() {
         for name in job.task_names(step) {
             let Some(task) = job.task(name) else { continue };
             if !task.is_untouched() {
-                tasks.push(task_record(name, task));
+                tasks.push(encode_task(name, task));
             }
         }
     }
@@ -76,7 +78,7 @@
         Outcome::Failed => 2,
         Outcome::Cancelled => 3,
     };
-    let failure = job.failure.as_ref().map(failure_record);
+    let failure = job.failure.as_ref().map(encode_failure);
     let (ended_ms, not_begun) = (job.ended_ms, !job.has_started);
     let mut record = v1::StateRecord { outcome, tasks, ended_ms, not_begun, failure };
     let bytes = record.encode_to_vec();
@@ -90,31 +92,31 @@
     record.encode_to_vec()
 }
 
-/// Leaves out saved progress that is longer than its share of what the record has room for. The store takes no
-/// larger record, and the append that holds one would be sent for ever, with all that waits behind it.
+/// Clears the checkpoints that are longer than an equal share of the available bytes. The store refuses a longer
+/// record, and the append that contains it would be retried forever and block all later appends.
 fn drop_long_checkpoints(record: &mut v1::StateRecord) {
-    let saved: usize = record.tasks.iter().map(|task| task.checkpoint.len()).sum();
-    let others = record.encoded_len() - saved;
-    let share = MAX_STATE_BYTES.saturating_sub(others) / record.tasks.len().max(1);
+    let checkpoint_bytes: usize = record.tasks.iter().map(|task| task.checkpoint.len()).sum();
+    let other_bytes = record.encoded_len() - checkpoint_bytes;
+    let max_bytes = MAX_STATE_BYTES.saturating_sub(other_bytes) / record.tasks.len().max(1);
     for task in &mut record.tasks {
-        if task.checkpoint.len() > share {
+        if task.checkpoint.len() > max_bytes {
             task.checkpoint.clear();
         }
     }
 }
 
-/// Leaves out which workers crashed; that they did stays.
+/// Clears the names of crashed workers, but keeps the crashes themselves.
 fn drop_crashed_workers(record: &mut v1::StateRecord) {
     let crashes = record.tasks.iter_mut().filter_map(|task| task.crashes.as_mut());
     crashes.flat_map(|crashes| &mut crashes.unexplained).for_each(|crash| crash.worker.clear());
 }
 
-fn crashes_record(crashes: &Crashes) -> v1::CrashesRecord {
-    let unexplained = crashes.unexplained.iter().map(crash_record).collect();
+fn encode_crashes(crashes: &Crashes) -> v1::CrashesRecord {
+    let unexplained = crashes.unexplained.iter().map(encode_crash).collect();
     v1::CrashesRecord { known: crashes.known, unexplained, last_run: crashes.last_run }
 }
 
-fn crash_record(crash: &Crash) -> v1::CrashRecord {
+fn encode_crash(crash: &Crash) -> v1::CrashRecord {
     let suspicion = match crash.suspicion {
         Suspicion::Cleared | Suspicion::Present => v1::CrashSuspicion::Present,
         Suspicion::Suspect => v1::CrashSuspicion::Suspect,
@@ -123,12 +125,12 @@
     v1::CrashRecord { worker: crash.worker.as_str().to_owned(), suspicion: suspicion.into() }
 }
 
-fn read_crashes(record: &v1::CrashesRecord) -> Crashes {
-    let unexplained = record.unexplained.iter().map(read_crash).collect();
+fn decode_crashes(record: &v1::CrashesRecord) -> Crashes {
+    let unexplained = record.unexplained.iter().map(decode_crash).collect();
     Crashes { known: record.known, unexplained, last_run: record.last_run }
 }
 
-fn read_crash(record: &v1::CrashRecord) -> Crash {
+fn decode_crash(record: &v1::CrashRecord) -> Crash {
     let suspicion = match record.suspicion() {
         v1::CrashSuspicion::Present => Suspicion::Present,
         v1::CrashSuspicion::Suspect => Suspicion::Suspect,
@@ -137,7 +139,7 @@
     Crash { worker: WorkerName::from(record.worker.as_str()), suspicion }
 }
 
-fn failure_record(failure: &Failure) -> v1::FailureRecord {
+fn encode_failure(failure: &Failure) -> v1::FailureRecord {
     let cause = match failure.cause {
         Cause::Attempts => v1::FailureCause::FailureAttempts,
         Cause::Crashes => v1::FailureCause::FailureCrashes,
@@ -146,7 +148,7 @@
     v1::FailureRecord { cause: cause.into(), occurrence, step, index, count: failure.count }
 }
 
-fn read_failure(key: JobKey, record: &v1::FailureRecord) -> Failure {
+fn decode_failure(key: JobKey, record: &v1::FailureRecord) -> Failure {
     let cause = match record.cause() {
         v1::FailureCause::FailureAttempts => Cause::Attempts,
         v1::FailureCause::FailureCrashes => Cause::Crashes,
@@ -155,7 +157,7 @@
     Failure { task: step.task(record.index), cause, count: record.count }
 }
 
-fn task_record(name: TaskName, task: &Task) -> v1::TaskRecord {
+fn encode_task(name: TaskName, task: &Task) -> v1::TaskRecord {
     v1::TaskRecord {
         occurrence: name.step.occurrence,
         step: name.step.step,
@@ -164,7 +166,7 @@
         last_run: task.last_run,
         failed: task.failed,
         failed_run: task.failed_run,
-        crashes: (task.crashes != Crashes::default()).then(|| crashes_record(&task.crashes)),
+        crashes: (task.crashes != Crashes::default()).then(|| encode_crashes(&task.crashes)),
         checkpoint: task.checkpoint.clone(),
         runs: task
             .runs
@@ -178,15 +180,15 @@
     }
 }
 
-/// Reads a job from its two records. Without a state record nothing has happened to it yet.
+/// Decodes a job from its two records. A job without a state record has its initial state.
 pub fn decode(key: JobKey, plan: &[u8], state: Option<&[u8]>) -> Result<Job> {
-    let wrong = |err: prost::DecodeError| Error::Record(format!("{key}: {err}"));
-    let plan = v1::PlanRecord::decode(plan).map_err(wrong)?;
-    let asked = plan.plan.as_ref().ok_or_else(|| Error::Record(format!("{key}: no plan")))?;
-    crate::plan::check(asked)?;
+    let decode_error = |err: prost::DecodeError| Error::Record(format!("{key}: {err}"));
+    let plan = v1::PlanRecord::decode(plan).map_err(decode_error)?;
+    let work_plan = plan.plan.as_ref().ok_or_else(|| Error::Record(format!("{key}: no plan")))?;
+    crate::plan::check(work_plan)?;
     let mut job = Job::new(key, plan);
     let Some(state) = state else { return Ok(job) };
-    let state = v1::StateRecord::decode(state).map_err(wrong)?;
+    let state = v1::StateRecord::decode(state).map_err(decode_error)?;
     job.outcome = match state.outcome {
         0 => Outcome::Open,
         1 => Outcome::Completed,
@@ -195,27 +197,28 @@
         other => return Err(Error::Record(format!("{key}: outcome {other}"))),
     };
     job.ended_ms = state.ended_ms;
-    job.failure = state.failure.as_ref().map(|failure| read_failure(key, failure));
+    job.failure = state.failure.as_ref().map(|failure| decode_failure(key, failure));
     for record in state.tasks {
         let step = StepName { job: key, occurrence: record.occurrence, step: record.step };
         let name = step.task(record.index);
         let task = job
             .task_mut(name)
             .ok_or_else(|| Error::Record(format!("{name} is not in the plan of its job")))?;
-        *task = read_task(record);
+        *task = decode_task(record);
     }
-    let was_given = job.tasks().any(|task| task.done || task.last_run > 0);
-    job.has_started = was_given && !state.not_begun;
+    // Records of earlier versions lack `not_begun`; in these an assigned run counts as started.
+    let was_assigned = job.tasks().any(|task| task.done || task.last_run > 0);
+    job.has_started = was_assigned && !state.not_begun;
     Ok(job)
 }
 
-fn read_task(record: v1::TaskRecord) -> Task {
+fn decode_task(record: v1::TaskRecord) -> Task {
     Task {
         done: record.done,
         last_run: record.last_run,
         failed: record.failed,
         failed_run: record.failed_run,
-        crashes: record.crashes.as_ref().map(read_crashes).unwrap_or_default(),
+        crashes: record.crashes.as_ref().map(decode_crashes).unwrap_or_default(),
         checkpoint: record.checkpoint,
         runs: record
             .runs
--- a/lilacpass-jobs/src/task.rs
+++ b/lilacpass-jobs/src/task.rs
@@ -1,52 +1,52 @@
-//! One task and the runs of it that may be on workers.
+//! The state of a task and of its runs that may be on workers.
 
 use std::sync::Arc;
 
 use crate::{crashes::Crashes, ids::WorkerName};
 
-/// A run that was given to a worker and is not known to have ended.
+/// A run that is assigned to a worker and is not known to have ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
-    /// Number of the run; rises with each start of the task.
+    /// Number of the run; increases with each start of the task.
     pub number: u32,
-    /// Where it may be.
+    /// The worker that the run is assigned to.
     pub worker: WorkerName,
     /// Data centre of the worker.
     pub data_centre: Arc<str>,
 }
 
-/// A task.
+/// The state of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Task {
-    /// A run of it has done its work.
+    /// Whether a run of the task has finished its work.
     pub done: bool,
-    /// Highest number that a run was given; 0 before the first.
+    /// Number of the last assigned run; 0 before the first.
     pub last_run: u32,
-    /// Runs that ended as failed.
+    /// Number of failed runs.
     pub failed: u32,
-    /// Number of the last run that was counted as failed, so that an end that is told twice, or by
-    /// several members of a gang, counts once.
+    /// Number of the last run that was counted as failed. An end that is reported twice, or by several members of a
+    /// gang, counts once.
     pub failed_run: u32,
-    /// Crashes of workers that had a run of it.
+    /// Crashes of workers that had a run of the task.
     pub crashes: Crashes,
-    /// Saved progress; empty where there is none.
+    /// The last saved progress; empty if there is none.
     pub checkpoint: String,
-    /// Runs that may be on workers; more than one only where copies are allowed.
+    /// Runs that may be on workers; more than one only if the step allows speculative copies.
     pub runs: Vec<Run>,
 }
 
 impl Task {
-    /// Whether it is neither done nor possibly running anywhere.
+    /// Returns whether the task is not done and no worker can be running it.
     pub fn is_waiting(&self) -> bool {
         !self.done && self.runs.is_empty()
     }
 
-    /// The run with this number, if it may be on a worker.
+    /// Returns the run with this number, if it may be on a worker.
     pub fn run(&self, number: u32) -> Option<&Run> {
         self.runs.iter().find(|run| run.number == number)
     }
 
-    /// Whether nothing has happened to it yet.
+    /// Returns whether the task still has its initial state.
     pub fn is_untouched(&self) -> bool {
         *self == Self::default()
     }
--- a/lilacpass-jobs/tests/records.rs
+++ b/lilacpass-jobs/tests/records.rs
@@ -1,4 +1,4 @@
-//! Fuzz of the records of jobs: what was written comes back as it was, and what others have written does no harm.
+//! Fuzz tests of the records of jobs: encoded jobs decode to the same state, and damaged records do no harm.
 
 use std::sync::Arc;
 
@@ -8,19 +8,19 @@
 use lilacpass_schema::v1;
 use prost::Message;
 
-/// Jobs in a plain run.
+/// Number of jobs that each test tries by default.
 const SEEDS: u64 = 1_000;
-/// Most bytes of one record of the store, as the platform tells.
-const RECORD_BYTES: usize = 262_144;
+/// Maximum length of a record that the store of the platform accepts.
+const MAX_RECORD_BYTES: usize = 262_144;
 const KEY: JobKey = JobKey(0x5c0e_7a21_d94b_36f8);
 
-/// What happens to a task of a job: which, what, how much.
+/// An event of a task: number of the task, kind of the event, and its parameter.
 type Event = (u16, u8, u8);
-/// A change to a record: what, where, which byte.
+/// A change to a record: kind of the change, position, and the new byte.
 type Damage = (u8, u16, u8);
 
-/// A job with steps of the given sizes to which events have happened.
-fn job(sizes: &[u8], repeats: u8, events: &[Event]) -> Job {
+/// Creates a job with steps of the given sizes and applies `events` to its tasks.
+fn job_after(sizes: &[u8], repeats: u8, events: &[Event]) -> Job {
     let steps = sizes.iter().enumerate().map(|(number, &size)| v1::WorkStep {
         count: 1 + u32::from(size % 5),
         gang: size % 3 == 0,
@@ -42,38 +42,38 @@
     let mut job = Job::new(KEY, record);
     let names: Vec<TaskName> =
         job.step_names().flat_map(|step| job.task_names(step).collect::<Vec<_>>()).collect();
-    for &(which, what, much) in events {
-        let name = names[usize::from(which) % names.len()];
-        happen(&mut job, name, what, much);
+    for &(number, kind, parameter) in events {
+        let name = names[usize::from(number) % names.len()];
+        apply(&mut job, name, kind, parameter);
     }
     job
 }
 
-fn happen(job: &mut Job, name: TaskName, what: u8, much: u8) {
-    let worker = WorkerName::from(format!("i-{much}").as_str());
-    match what % 8 {
+fn apply(job: &mut Job, name: TaskName, kind: u8, parameter: u8) {
+    let worker = WorkerName::from(format!("i-{parameter}").as_str());
+    match kind % 8 {
         0..=2 => drop(job.assign_run(name, worker, Arc::from("a"))),
-        3 => job.update_checkpoint(name, &format!("c{much}")),
+        3 => job.update_checkpoint(name, &format!("c{parameter}")),
         4..=6 => {
             let run = job.task(name).and_then(|task| task.runs.first().cloned());
-            let how = ["done", "failed", "stopped", "lapsed"][usize::from(much % 4)];
+            let reason = ["done", "failed", "stopped", "lapsed"][usize::from(parameter % 4)];
             if let Some(run) = run {
-                let how = how.parse().expect("a way to end");
-                let end = RunEnd { run: run.number, reason: how, checkpoint: String::new() };
+                let reason = reason.parse().expect("a reason");
+                let end = RunEnd { run: run.number, reason, checkpoint: String::new() };
                 let _change = job.end_run(name, &run.worker, &end, 11);
             }
         }
-        _ if much < 16 => drop(job.cancel(13)),
+        _ if parameter < 16 => drop(job.cancel(13)),
         _ => {}
     }
 }
 
-fn damaged(sound: &[u8], damages: &[Damage]) -> Vec<u8> {
-    let mut bytes = sound.to_vec();
-    for &(what, place, byte) in damages {
-        let at = usize::from(place) % (bytes.len() + 1);
-        match what % 4 {
-            0 if what < 16 => bytes.truncate(at),
+fn damaged(intact: &[u8], damages: &[Damage]) -> Vec<u8> {
+    let mut bytes = intact.to_vec();
+    for &(kind, position, byte) in damages {
+        let at = usize::from(position) % (bytes.len() + 1);
+        match kind % 4 {
+            0 if kind < 16 => bytes.truncate(at),
             1 => bytes.insert(at, byte),
             2 if at < bytes.len() => drop(bytes.remove(at)),
             _ if at < bytes.len() => bytes[at] = byte,
@@ -84,23 +84,23 @@
 }
 
 #[test]
-fn a_job_comes_back_from_its_records_as_it_was() {
+fn any_job_survives_encoding_and_decoding() {
     lilacpass_fuzz::check::<(Vec<u8>, u8, Vec<Event>)>(
         SEEDS,
         1 << 9,
         |(sizes, repeats, events)| {
             let sizes = if sizes.is_empty() { &[1][..] } else { sizes };
-            let job = job(sizes, *repeats, events);
+            let job = job_after(sizes, *repeats, events);
             let (plan, state) = (record::encode_plan(&job), record::encode_state(&job));
             assert_eq!(record::decode(KEY, &plan, Some(&state)).expect("a job"), job);
         },
     );
 }
 
-/// Nothing is stored any more: the tasks of a job save so much of their progress that the record of its state is larger
-/// than the store takes, and the append that holds it is sent again and again.
+/// Guards against a blocked store: if the checkpoints of a job make its state longer than the store accepts, the append
+/// that contains the state is retried forever.
 #[test]
-fn a_state_with_much_saved_progress_fits_a_record() {
+fn a_state_with_long_checkpoints_fits_a_record() {
     let step = v1::WorkStep { count: 40, checkpointing: true, ..Default::default() };
     let plan = v1::WorkPlan { steps: vec![step], ..Default::default() };
     let mut job = Job::new(KEY, v1::PlanRecord { plan: Some(plan), ..Default::default() });
@@ -111,14 +111,14 @@
         job.update_checkpoint(*name, &"c".repeat(bytes));
     }
     let (plan, state) = (record::encode_plan(&job), record::encode_state(&job));
-    assert!(state.len() <= RECORD_BYTES, "{} bytes", state.len());
-    let read = record::decode(KEY, &plan, Some(&state)).expect("a job");
-    assert_eq!(read.live_runs(), job.live_runs());
-    // What is short is kept; a task whose progress is not starts anew under the next leader.
-    assert_eq!(read.checkpoint(names[0]), job.checkpoint(names[0]));
+    assert!(state.len() <= MAX_RECORD_BYTES, "{} bytes", state.len());
+    let decoded = record::decode(KEY, &plan, Some(&state)).expect("a job");
+    assert_eq!(decoded.live_runs(), job.live_runs());
+    // Short checkpoints are kept. A task whose checkpoint was dropped starts from the beginning under the next leader.
+    assert_eq!(decoded.checkpoint(names[0]), job.checkpoint(names[0]));
 }
 
-/// Guards against a record that the store refuses for ever because workers have crashed under each of many tasks.
+/// Guards against a state that the store always refuses because workers crashed during each of many tasks.
 #[test]
 fn a_state_with_many_crashes_fits_a_record() {
     let step = v1::WorkStep { count: 4_000, ..Default::default() };
@@ -129,20 +129,23 @@
     for name in &names {
         for _ in 0..2 {
             let run = job.assign_run(*name, worker.clone(), Arc::from("hal-a")).expect("a run");
-            let how = EndReason::Crashed(Suspicion::Suspect);
-            job.end_run(*name, &worker, &RunEnd { run, reason: how, checkpoint: String::new() }, 9);
+            let reason = EndReason::Crashed(Suspicion::Suspect);
+            job.end_run(*name, &worker, &RunEnd { run, reason, checkpoint: String::new() }, 9);
         }
         job.assign_run(*name, worker.clone(), Arc::from("hal-a"));
     }
     let (plan, state) = (record::encode_plan(&job), record::encode_state(&job));
-    assert!(state.len() <= RECORD_BYTES, "{} bytes", state.len());
-    let read = record::decode(KEY, &plan, Some(&state)).expect("a job");
-    assert!(names.iter().all(|name| read.is_suspected(*name)));
-    assert!(names.iter().all(|name| read.crashed_workers(*name).is_empty()), "no name for all");
-    assert_eq!(read.live_runs(), job.live_runs());
+    assert!(state.len() <= MAX_RECORD_BYTES, "{} bytes", state.len());
+    let decoded = record::decode(KEY, &plan, Some(&state)).expect("a job");
+    assert!(names.iter().all(|name| decoded.is_suspected(*name)));
+    assert!(
+        names.iter().all(|name| decoded.crashed_workers(*name).is_empty()),
+        "the names don't fit"
+    );
+    assert_eq!(decoded.live_runs(), job.live_runs());
 }
 
-/// A job is shown as waiting for ever and can't be carried out: its record names no plan.
+/// Guards against a job that waits forever because its record has no plan.
 #[test]
 fn a_record_without_a_plan_is_refused() {
     let record = v1::PlanRecord { plan: None, ..Default::default() }.encode_to_vec();
@@ -150,29 +153,36 @@
     assert!(err.to_string().contains("plan"), "{err}");
 }
 
-/// Records that are damaged are refused, or read as a job that is within all bounds, can be asked for everything
-/// and comes back from its own records as it was read.
+/// A damaged record must be refused, or decode to a job that is within all limits, answers all queries and survives
+/// another round of encoding and decoding.
 #[test]
-fn damaged_records_are_refused_or_read_as_a_whole_job() {
+fn damaged_records_are_refused_or_decode_to_a_valid_job() {
     type Input = (Vec<u8>, Vec<Event>, Vec<Damage>, Vec<Damage>);
-    lilacpass_fuzz::check::<Input>(SEEDS, 1 << 9, |(sizes, events, of_plan, of_state)| {
-        let sizes = if sizes.is_empty() { &[1][..] } else { sizes };
-        let sound = job(sizes, 2, events);
-        let plan = damaged(&record::encode_plan(&sound), of_plan);
-        let state = damaged(&record::encode_state(&sound), of_state);
-        let Ok(read) = record::decode(KEY, &plan, Some(&state)) else { return };
-        assert!(read.tasks().count() as u64 <= plan::MAX_TASKS);
-        assert!(read.outcome != Outcome::Open || read.tasks().count() > 0, "a job without tasks");
-        for step in read.step_names() {
-            let _may_start = read.step_may_start(step, u64::MAX);
-        }
-        let (plan, state) = (record::encode_plan(&read), record::encode_state(&read));
-        assert_eq!(record::decode(KEY, &plan, Some(&state)).expect("a job"), read);
-    });
+    lilacpass_fuzz::check::<Input>(
+        SEEDS,
+        1 << 9,
+        |(sizes, events, plan_damages, state_damages)| {
+            let sizes = if sizes.is_empty() { &[1][..] } else { sizes };
+            let intact = job_after(sizes, 2, events);
+            let plan = damaged(&record::encode_plan(&intact), plan_damages);
+            let state = damaged(&record::encode_state(&intact), state_damages);
+            let Ok(decoded) = record::decode(KEY, &plan, Some(&state)) else { return };
+            assert!(decoded.tasks().count() as u64 <= plan::MAX_TASKS);
+            assert!(
+                decoded.outcome != Outcome::Open || decoded.tasks().count() > 0,
+                "a job without tasks"
+            );
+            for step in decoded.step_names() {
+                let _may_start = decoded.step_may_start(step, u64::MAX);
+            }
+            let (plan, state) = (record::encode_plan(&decoded), record::encode_state(&decoded));
+            assert_eq!(record::decode(KEY, &plan, Some(&state)).expect("a job"), decoded);
+        },
+    );
 }
 
 #[test]
-fn names_come_back_from_their_text_as_they_were() {
+fn task_names_parse_from_their_text() {
     lilacpass_fuzz::check::<(u64, [u32; 3])>(SEEDS, 1 << 6, |(job, [occurrence, step, index])| {
         let step =
             lilacpass_jobs::StepName { job: JobKey(*job), occurrence: *occurrence, step: *step };
@@ -181,10 +191,10 @@
     });
 }
 
-/// A run of a worker is taken for another's: a name that is written otherwise, `+1` or `01` for `1`, is read as the
-/// same task.
+/// Guards against names with several spellings: if `+1` or `01` parsed like `1`, one task could be mistaken for
+/// another.
 #[test]
-fn what_is_read_as_a_name_is_written_as_it_was() {
+fn a_text_that_parses_as_a_name_is_the_text_of_that_name() {
     const PIECES: [&str; 12] = [
         "5c0e7a21d94b36f8",
         ".",
@@ -200,8 +210,8 @@
         "",
     ];
     lilacpass_fuzz::check::<Vec<u8>>(20 * SEEDS, 1 << 4, |pieces| {
-        let rest = pieces.iter().map(|&piece| PIECES[usize::from(piece) % PIECES.len()]);
-        let text: String = rest.collect();
+        let chosen = pieces.iter().map(|&piece| PIECES[usize::from(piece) % PIECES.len()]);
+        let text: String = chosen.collect();
         for text in [format!("{}{text}", PIECES[0]), text] {
             if let Ok(name) = text.parse::<TaskName>() {
                 assert_eq!(name.to_string(), text);
