--- a/lilacpass-core/src/class.rs
+++ b/lilacpass-core/src/class.rs
@@ -1,17 +1,17 @@
-//! The class of a piece of work, which decides who goes first.
+//! The priority class of a piece of work.
 
 use std::{fmt, str::FromStr};
 
 use crate::error::{self, Error};
 
-/// The class of a piece of work, the most urgent first.
+/// The priority class of a piece of work. The classes sort from most to least urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Class {
-    /// A person waits for the answer.
+    /// Work whose result a person is waiting for.
     Urgent,
     /// Work that is kept running, such as a watcher.
     Standing,
-    /// Work that may wait, such as an audit over night.
+    /// Work that may wait, such as a nightly audit.
     Batch,
 }
 
@@ -19,7 +19,7 @@
     /// All classes, the most urgent first.
     pub const ALL: [Self; 3] = [Self::Urgent, Self::Standing, Self::Batch];
 
-    /// The name in settings, messages and metrics.
+    /// The name that is used in settings, messages and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Urgent => "urgent",
--- a/lilacpass-core/src/error.rs
+++ b/lilacpass-core/src/error.rs
@@ -1,4 +1,4 @@
-//! The error type of the shared types, and short constructors per kind of error.
+//! The error type of this crate and its constructor.
 
 use quick_error::quick_error;
 
@@ -6,18 +6,18 @@
 pub type Result<T> = std::result::Result<T, Error>;
 
 quick_error! {
-    /// What can be wrong with a value that is read from text.
+    /// An error in a value that is parsed from text.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Error {
-        /// The text does not have the form of the type that was asked for.
-        Malformed(what: &'static str, text: String) {
-            display("{text:?} is not a valid {what}")
+        /// A text does not parse as a value of the expected type.
+        Malformed(kind: &'static str, text: String) {
+            display("{text:?} is not a valid {kind}")
         }
     }
 }
 
-/// The error for a `text` that does not have the form of a `what`.
-pub fn malformed(what: &'static str, text: &str) -> Error {
+/// Returns the error for a `text` that does not parse as a `kind`. The text is truncated to fit a log line.
+pub fn malformed(kind: &'static str, text: &str) -> Error {
     const MAX_SHOWN_CHARS: usize = 64;
-    Error::Malformed(what, text.chars().take(MAX_SHOWN_CHARS).collect())
+    Error::Malformed(kind, text.chars().take(MAX_SHOWN_CHARS).collect())
 }
--- a/lilacpass-core/src/ids.rs
+++ b/lilacpass-core/src/ids.rs
@@ -1,10 +1,10 @@
-//! Identifiers of instances, workers, jobs and log positions, each a type of its own.
+//! Identifier types of instances, workers, jobs, log positions and other things.
 
 use std::{fmt, str::FromStr, sync::Arc};
 
 use crate::error::{self, Error};
 
-/// Longest name that is accepted for an instance, worker, team and the like, in bytes.
+/// Maximum length in bytes of the name of an instance, worker, team or similar.
 pub const MAX_NAME_LEN: usize = 128;
 
 macro_rules! name_id {
@@ -14,12 +14,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Wraps a name that is known to be well formed.
+            /// Wraps a name without checking it. The caller must know that it is well formed.
             pub fn new(name: impl AsRef<str>) -> Self {
                 Self(Arc::from(name.as_ref()))
             }
 
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -49,7 +49,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The number that follows this one.
+            /// Returns the next number.
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
             }
@@ -76,11 +76,11 @@
     InstanceId
 }
 name_id! {
-    /// A worker: a target instance that runs tasks.
+    /// A worker, which runs tasks.
     WorkerId
 }
 name_id! {
-    /// A group of workers that one entry instance holds together, by default a rack.
+    /// A shard: a group of workers that is always held by a single entry instance, by default a rack.
     ShardId
 }
 name_id! {
@@ -92,57 +92,56 @@
     RackId
 }
 name_id! {
-    /// A team that shares the cell, with its quota.
+    /// A team that shares the cell and has its own quota.
     TeamId
 }
 name_id! {
-    /// A service that workers offer, such as a page check.
+    /// A service that workers offer, such as checking web pages.
     ServiceId
 }
 name_id! {
-    /// A kind of job within a service; sizes and run times are learned per kind.
+    /// A kind of job within a service. Sizes and run times are estimated per kind.
     KindId
 }
 name_id! {
-    /// An account of a team, such as one customer; rules may prefer it.
+    /// An account of a team, such as one customer. Rules may prefer an account.
     AccountId
 }
 
 number_id! {
-    /// The start number of a process; a restarted process has a greater one than its predecessor.
+    /// The incarnation of a process; a restarted process has a greater number than its predecessor.
     Incarnation
 }
 number_id! {
-    /// The number of a holder's tenure of a shard; grows with each valid claim, used as fencing token.
+    /// The epoch of a shard: increases with each valid claim of the shard and serves as fencing token.
     Epoch
 }
 number_id! {
-    /// The position of a record in a stream of the log service.
+    /// The offset of a record in a stream of the log service.
     Offset
 }
 number_id! {
-    /// The revision of the configuration: the offset behind the last change that was accepted, and 0
-    /// where there is none.
+    /// The revision of the configuration: the offset after the last accepted change, or 0 if there is none.
     Revision
 }
 number_id! {
-    /// The number of an attempt to run a job, from 1.
+    /// The number of an attempt to run a job, starting at 1.
     AttemptNo
 }
 number_id! {
-    /// A request inside one process, from its arrival to its answer.
+    /// A request within one process, from its arrival to its response.
     RequestId
 }
 
-/// A job, named by a 128-bit number that is printed as 32 hexadecimal digits.
+/// A job, identified by a 128-bit number that is printed as 32 hexadecimal digits.
 ///
-/// It is derived from the team and the idempotency key, so that two entry instances
-/// that get the same request name the same job.
+/// The id is derived from the team and the idempotency key, so that two entry instances that receive the same request
+/// use the same id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u128);
 
 impl JobId {
-    /// The id of the job that `team` submits under idempotency key `key`.
+    /// Returns the id of the job that `team` submits with the idempotency key `key`.
     pub fn derive(team: &TeamId, key: &str) -> Self {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&(team.as_str().len() as u64).to_le_bytes());
@@ -171,17 +170,16 @@
     }
 }
 
-/// One task of one attempt of a job; printed as `job.attempt.index`.
+/// A task of one attempt of a job, printed as `JOB.ATTEMPT.INDEX`.
 ///
-/// A quick request that is not recorded in the log has a random job id, and a new attempt for each
-/// retry.
+/// A quick request, which is not recorded in the log, has a random job id, and each of its retries is a new attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job.
+    /// The job that the task belongs to.
     pub job: JobId,
     /// The attempt of the job.
     pub attempt: AttemptNo,
-    /// The position of the task within the attempt, from 0.
+    /// The index of the task within the attempt, starting at 0.
     pub index: u32,
 }
 
@@ -206,10 +204,11 @@
     }
 }
 
-fn check_name(what: &'static str, name: &str) -> Result<(), Error> {
-    let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | '/' | ':');
-    if name.is_empty() || name.len() > MAX_NAME_LEN || !name.chars().all(allowed) {
-        return Err(error::malformed(what, name));
+fn check_name(kind: &'static str, name: &str) -> Result<(), Error> {
+    let is_allowed =
+        |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | '/' | ':');
+    if name.is_empty() || name.len() > MAX_NAME_LEN || !name.chars().all(is_allowed) {
+        return Err(error::malformed(kind, name));
     }
     Ok(())
 }
--- a/lilacpass-core/src/lib.rs
+++ b/lilacpass-core/src/lib.rs
@@ -1,6 +1,6 @@
-//! Shared types of lilacpass: ids, sizes, rates, time, classes, verdict and errors.
+//! Types that several crates of lilacpass share: ids, sizes, rates, times, priority classes, verdicts and errors.
 //!
-//! Every other crate builds on these. Nothing here performs I/O, reads a clock or starts a thread.
+//! Nothing in this crate performs I/O, reads a clock or starts a thread.
 
 pub mod class;
 pub mod error;
--- a/lilacpass-core/src/rendezvous.rs
+++ b/lilacpass-core/src/rendezvous.rs
@@ -1,7 +1,7 @@
-//! Rendezvous hashing: who of several members takes a thing, the same wherever it is asked.
+//! Rendezvous hashing: assigns keys to members such that all processes agree without communication.
 
-/// Weight of `member` for `key`. The member with the greatest weight takes the key; when a member
-/// goes, only its own keys move.
+/// Returns the weight of `member` for `key`. A key is assigned to the member with the greatest weight. If a member
+/// leaves, only its own keys are reassigned.
 pub fn weight(key: &[u8], member: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&(key.len() as u64).to_le_bytes());
--- a/lilacpass-core/src/resources.rs
+++ b/lilacpass-core/src/resources.rs
@@ -1,24 +1,24 @@
-//! What a worker has and a task needs: processors, memory, accelerators and slots.
+//! Amounts of the resources that workers offer and tasks need: processors, memory, accelerators and slots.
 
 use std::fmt;
 
 use crate::size::{Accelerators, Mebibytes, Millicores, Slots};
 
-/// An amount of each resource of a worker.
+/// An amount of each resource, such as the capacity of a worker or the need of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Resources {
-    /// Processors.
+    /// Processor time, in thousandths of a core.
     pub cpu: Millicores,
-    /// Memory.
+    /// Memory, in mebibytes.
     pub memory: Mebibytes,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: Accelerators,
-    /// Task slots.
+    /// Number of task slots.
     pub slots: Slots,
 }
 
 impl Resources {
-    /// Nothing of any resource.
+    /// Zero of every resource.
     pub const ZERO: Self = Self {
         cpu: Millicores(0),
         memory: Mebibytes(0),
@@ -26,7 +26,7 @@
         slots: Slots(0),
     };
 
-    /// Builds an amount from plain numbers: millicores, mebibytes, accelerators, slots.
+    /// Creates an amount from plain numbers.
     pub fn new(cpu_milli: u64, memory_mib: u64, accelerators: u64, slots: u64) -> Self {
         Self {
             cpu: Millicores(cpu_milli),
@@ -36,56 +36,56 @@
         }
     }
 
-    /// Whether this amount is no more than `room` in every resource.
-    pub fn fits(&self, room: &Self) -> bool {
-        self.cpu <= room.cpu
-            && self.memory <= room.memory
-            && self.accelerators <= room.accelerators
-            && self.slots <= room.slots
+    /// Returns whether this amount is at most `available` in every resource.
+    pub fn fits(&self, available: &Self) -> bool {
+        self.cpu <= available.cpu
+            && self.memory <= available.memory
+            && self.accelerators <= available.accelerators
+            && self.slots <= available.slots
     }
 
-    /// Adds resource by resource.
+    /// Adds the amounts of each resource. Saturates on overflow.
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
         self.zip(other, u64::saturating_add)
     }
 
-    /// Subtracts resource by resource, ending at zero.
+    /// Subtracts the amounts of each resource. Saturates at zero.
     #[must_use]
     pub fn minus(&self, other: &Self) -> Self {
         self.zip(other, u64::saturating_sub)
     }
 
-    /// So many times as much of each resource.
+    /// Multiplies the amount of each resource by `count`. Saturates on overflow.
     #[must_use]
     pub fn times(&self, count: u64) -> Self {
         self.zip(&Self::ZERO, |amount, _| amount.saturating_mul(count))
     }
 
-    /// The greater of both, resource by resource.
+    /// Returns the greater amount of each resource.
     #[must_use]
     pub fn max(&self, other: &Self) -> Self {
         self.zip(other, u64::max)
     }
 
-    /// The smaller of both, resource by resource.
+    /// Returns the smaller amount of each resource.
     #[must_use]
     pub fn min(&self, other: &Self) -> Self {
         self.zip(other, u64::min)
     }
 
-    /// Half of each resource, rounded down.
+    /// Returns half the amount of each resource, rounded down.
     #[must_use]
     pub fn half(&self) -> Self {
         self.zip(&Self::ZERO, |a, _| a / 2)
     }
 
-    /// Whether nothing of any resource is left.
+    /// Returns whether the amount of every resource is zero.
     pub fn is_zero(&self) -> bool {
         *self == Self::ZERO
     }
 
-    /// Combines both, resource by resource.
+    /// Applies `f` to the two amounts of each resource.
     fn zip(&self, other: &Self, f: impl Fn(u64, u64) -> u64) -> Self {
         Self::new(
             f(self.cpu.0, other.cpu.0),
--- a/lilacpass-core/src/size.rs
+++ b/lilacpass-core/src/size.rs
@@ -1,4 +1,4 @@
-//! Sizes and rates, each a type of its own with its unit in the printed form.
+//! Newtypes for sizes and rates, which print their unit.
 
 use std::{
     fmt,
@@ -16,10 +16,10 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The unit that the printed form carries.
+            /// The unit that is printed after the number.
             pub const UNIT: &'static str = $unit;
 
-            /// `self - other`, or zero where `other` is greater.
+            /// Returns `self - other`, or zero if `other` is greater.
             pub fn saturating_sub(self, other: Self) -> Self {
                 Self(self.0.saturating_sub(other.0))
             }
@@ -48,7 +48,7 @@
         impl FromStr for $name {
             type Err = Error;
 
-            /// Reads a whole number, with or without the unit behind it.
+            /// Parses a whole number with or without the unit after it.
             fn from_str(s: &str) -> Result<Self, Error> {
                 let digits = s.strip_suffix(Self::UNIT).unwrap_or(s).trim_end();
                 digits.parse().map(Self).map_err(|_| error::malformed(stringify!($name), s))
@@ -58,7 +58,7 @@
 }
 
 size! {
-    /// Processor time per time, in thousandths of a core.
+    /// Processor capacity or use, in thousandths of a core.
     Millicores, "m"
 }
 size! {
@@ -66,11 +66,11 @@
     Mebibytes, "MiB"
 }
 size! {
-    /// A number of accelerators.
+    /// Number of accelerators.
     Accelerators, "acc"
 }
 size! {
-    /// A number of task slots of a worker.
+    /// Number of task slots of a worker.
     Slots, "slots"
 }
 size! {
@@ -82,12 +82,12 @@
     PerSecond, "/s"
 }
 size! {
-    /// What a link carries, in bytes per second.
+    /// The bandwidth of a link, in bytes per second.
     BytesPerSecond, "B/s"
 }
 
 impl BytesPerSecond {
-    /// How long so many bytes take; no time where nothing is known of the link.
+    /// Returns how long the transfer of `bytes` takes. A bandwidth of 0 means that it is unknown and gives zero.
     pub fn time_for(self, bytes: Bytes) -> Duration {
         if self.0 == 0 {
             return Duration::ZERO;
--- a/lilacpass-core/src/time.rs
+++ b/lilacpass-core/src/time.rs
@@ -1,4 +1,4 @@
-//! Monotonic time of one process. Decisions take it as an argument and never read a clock.
+//! Monotonic time of one process. Code that makes decisions receives it as an argument and never reads a clock.
 
 use std::{
     fmt,
@@ -6,24 +6,24 @@
     time::Duration,
 };
 
-/// A moment on the monotonic clock of one process, in microseconds since an arbitrary start.
+/// A point in time on the monotonic clock of one process, in microseconds since an arbitrary start.
 ///
-/// Moments of two processes can't be compared.
+/// Times of different processes can't be compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MonoTime(pub u64);
 
 impl MonoTime {
-    /// The moment `ms` milliseconds after the start of the clock.
+    /// Returns the time `ms` milliseconds after the start of the clock.
     pub fn from_ms(ms: u64) -> Self {
         Self(ms.saturating_mul(1_000))
     }
 
-    /// The time since `earlier`, or zero where `earlier` is later.
+    /// Returns the duration since `earlier`, or zero if `earlier` is later than this time.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Whether this moment has been reached at `now`.
+    /// Returns whether `now` is at or after this time.
     pub fn reached(self, now: Self) -> bool {
         now >= self
     }
--- a/lilacpass-core/src/verdict.rs
+++ b/lilacpass-core/src/verdict.rs
@@ -1,17 +1,17 @@
-//! The verdict on a request: whether it may have run.
+//! The verdict on a request: whether it ran.
 
 use std::{fmt, str::FromStr};
 
 use crate::error::{self, Error};
 
-/// Whether a request may have run. Every answer, error and log line about a request carries it.
+/// Whether a request ran. Every response, error and log line about a request contains a verdict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Verdict {
-    /// Proved not to have run: it was never sent, or refused before it started.
+    /// The request certainly did not run: it was never sent, or it was refused before it started.
     NotRun,
-    /// It was sent, and nothing proves that it did not start.
+    /// The request was sent, and it is unknown whether it started.
     MayHaveRun,
-    /// It ran to its end.
+    /// The request ran to its end.
     Ran,
 }
 
@@ -19,7 +19,7 @@
     /// All verdicts.
     pub const ALL: [Self; 3] = [Self::NotRun, Self::MayHaveRun, Self::Ran];
 
-    /// The name in messages and metrics.
+    /// The name that is used in messages and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
--- a/lilacpass-fuzz/src/lib.rs
+++ b/lilacpass-fuzz/src/lib.rs
@@ -1,14 +1,13 @@
 //! Runs fuzz tests with fixed seeds, or as a long random search.
 //!
-//! bolero draws its seeds from the operating system, so that two runs of a plain `cargo test` do
-//! not try the same. Here the bytes that its generators read come from seeds 0, 1, 2 and so on:
-//! the verdict is the same each time.
+//! bolero takes its seeds from the operating system, so two runs of `cargo test` would test different values. This
+//! crate feeds the generators with bytes from the seeds 0, 1, 2 and so on, which makes the result reproducible.
 //!
 //! Two environment variables make a run longer:
 //!
-//! - `LILACPASS_FUZZ_SEEDS=n` tries at least `n` fixed seeds, and never fewer than the test's own.
-//! - `LILACPASS_FUZZ_SECONDS=n` has bolero itself search at random for `n` seconds a test, in place
-//!   of the fixed seeds, and shrink what it finds.
+//! - `LILACPASS_FUZZ_SEEDS=n` tries at least `n` fixed seeds, and never fewer than the test itself asks for.
+//! - `LILACPASS_FUZZ_SECONDS=n` replaces the fixed seeds by bolero's random search, which takes `n` seconds per test
+//!   and shrinks failing values.
 
 mod fixed;
 mod random;
@@ -17,19 +16,19 @@
 
 use bolero::{TypeGenerator, ValueGenerator, produce};
 
-/// Environment variable with the seconds that a random search may take.
+/// Environment variable that enables the random search and holds its duration in seconds.
 pub const SECONDS_VAR: &str = "LILACPASS_FUZZ_SECONDS";
-/// Environment variable with the number of fixed seeds, where more than the test's own are wanted.
+/// Environment variable that increases the number of fixed seeds.
 pub const SEEDS_VAR: &str = "LILACPASS_FUZZ_SEEDS";
 
-/// Most bytes that a list is made from.
-const LIST_BYTES: usize = 1 << 14;
+/// Maximum number of bytes from which a list is generated.
+const MAX_LIST_BYTES: usize = 1 << 14;
 
-/// Calls `test` with `seeds` values of a type, made from at most `max_len` bytes each.
+/// Calls `test` with `seeds` values of a type, each generated from at most `max_len` bytes.
 ///
 /// # Panics
 ///
-/// Where `test` panics; the message before names the seed.
+/// Panics if `test` panics. The seed and the value are printed before.
 pub fn check<T>(seeds: u64, max_len: usize, test: impl Fn(&T) + RefUnwindSafe)
 where
     T: TypeGenerator + Debug + RefUnwindSafe + 'static,
@@ -37,11 +36,11 @@
     check_with(produce::<T>(), seeds, max_len, test);
 }
 
-/// Calls `test` with `seeds` values of `generator`, made from at most `max_len` bytes each.
+/// Calls `test` with `seeds` values of `generator`, each generated from at most `max_len` bytes.
 ///
 /// # Panics
 ///
-/// Where `test` panics; the message before names the seed.
+/// Panics if `test` panics. The seed and the value are printed before.
 pub fn check_with<G>(
     generator: G,
     seeds: u64,
@@ -51,28 +50,27 @@
     G: ValueGenerator + RefUnwindSafe,
     G::Output: Debug,
 {
-    match number(SECONDS_VAR) {
+    match env_number(SECONDS_VAR) {
         Some(seconds) => random::search(generator, seconds, max_len, &test),
-        None => fixed::run(&generator, at_least(seeds), max_len, &test),
+        None => fixed::run(&generator, seed_count(seeds), max_len, &test),
     }
 }
 
-/// Calls `test` with `seeds` lists with as many items as `len` allows; the fixed seeds go through
-/// all these lengths in turn.
+/// Calls `test` with `seeds` lists whose lengths are in `len`. With fixed seeds, the lengths cycle through this range.
 ///
 /// # Panics
 ///
-/// Where `test` panics; the message before names the seed.
+/// Panics if `test` panics. The seed and the value are printed before.
 pub fn check_lists<T>(seeds: u64, len: RangeInclusive<usize>, test: impl Fn(&[T]) + RefUnwindSafe)
 where
     T: TypeGenerator + Debug + RefUnwindSafe + 'static,
 {
     let test = |list: &Vec<T>| test(list);
-    if let Some(seconds) = number(SECONDS_VAR) {
+    if let Some(seconds) = env_number(SECONDS_VAR) {
         let lists = produce::<Vec<T>>().with().len(len);
-        random::search(lists, seconds, LIST_BYTES, &test);
+        random::search(lists, seconds, MAX_LIST_BYTES, &test);
     } else {
-        fixed::run_lists(at_least(seeds), &len, LIST_BYTES, &test);
+        fixed::run_lists(seed_count(seeds), &len, MAX_LIST_BYTES, &test);
     }
 }
 
@@ -80,15 +78,16 @@
 ///
 /// # Panics
 ///
-/// Where `test` panics; the message before names the seed.
+/// Panics if `test` panics. The seed and the value are printed before.
 pub fn check_bytes(seeds: u64, max_len: usize, test: impl Fn(&[u8]) + RefUnwindSafe) {
     check_lists::<u8>(seeds, 0..=max_len, test);
 }
 
-fn at_least(seeds: u64) -> u64 {
-    number(SEEDS_VAR).map_or(seeds, |more| more.max(seeds))
+/// Returns the number of seeds to try: `seeds`, or the number in the environment if that is greater.
+fn seed_count(seeds: u64) -> u64 {
+    env_number(SEEDS_VAR).map_or(seeds, |from_env| from_env.max(seeds))
 }
 
-fn number(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     env::var(name).ok()?.parse().ok()
 }
--- a/lilacpass-fuzz/src/random.rs
+++ b/lilacpass-fuzz/src/random.rs
@@ -1,10 +1,10 @@
-//! Random search by bolero, which also shrinks what it finds.
+//! Random search with bolero, which also shrinks failing values.
 
 use std::{fmt::Debug, panic::RefUnwindSafe, time::Duration};
 
 use bolero::ValueGenerator;
 
-/// Tests random values of `generator` for some seconds.
+/// Calls `test` with random values of `generator` for the given number of seconds.
 pub(crate) fn search<G>(
     generator: G,
     seconds: u64,
