--- a/lilacpass-lab/src/arrivals.rs
+++ b/lilacpass-lab/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! The jobs of a play, drawn before it begins, so that each policy meets the same.
+//! The jobs of a simulation. They are generated before it starts, so that all policies receive the same jobs.
 
 use lilacpass_jobs::JobKey;
 use lilacpass_schema::v1;
@@ -6,39 +6,41 @@
 
 use crate::scenario::{Class, FaultKind, Scenario};
 
-/// Time of day at which a play begins, in milliseconds since 1970.
-pub const DAY_MS: u64 = 1_800_000_000_000;
+/// Time of day at which a simulation starts, in milliseconds since 1970.
+pub const START_UNIX_MS: u64 = 1_800_000_000_000;
 
-/// Bounds of the work of a task, as parts of what its class says.
-const WORK_SPREAD: (f64, f64) = (0.7, 1.3);
+/// Range of the work of a task, as factors of the work that its class specifies.
+const WORK_FACTORS: (f64, f64) = (0.7, 1.3);
 
-/// A job that comes.
+/// A job that a client submits during the simulation.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When, in milliseconds from the beginning.
+    /// Time of the submission, in milliseconds since the start of the scenario.
     pub at_ms: u64,
-    /// Its name.
+    /// Name of the job.
     pub key: JobKey,
-    /// Number of its class.
+    /// Number of its class in the scenario.
     pub class: usize,
-    /// Work of each task, by step, in milliseconds.
+    /// Work of each task in milliseconds, by step and index.
     pub work_ms: Vec<Vec<u64>>,
 }
 
 impl Arrival {
-    /// Work on its longest chain, in milliseconds.
-    pub fn chain_ms(&self) -> u64 {
+    /// Returns the work on the longest chain of tasks, in milliseconds.
+    pub fn longest_chain_ms(&self) -> u64 {
         self.work_ms.iter().filter_map(|step| step.iter().max()).sum()
     }
 
-    /// Until when it is in time, and until when it is late, in milliseconds from the beginning.
-    pub fn due_ms(&self, class: &Class) -> (u64, u64) {
-        let objective_ms = class.stretch * self.chain_ms() as f64 + f64::from(class.objective_ms);
+    /// Returns the times until which the job counts as in time and as late, in milliseconds since the start of the
+    /// scenario.
+    pub fn deadlines_ms(&self, class: &Class) -> (u64, u64) {
+        let objective_ms =
+            class.stretch * self.longest_chain_ms() as f64 + f64::from(class.objective_ms);
         (self.at_ms + objective_ms as u64, self.at_ms + (3.0 * objective_ms) as u64)
     }
 
-    /// The job as its caller hands it in.
-    pub fn plan(&self, class: &Class) -> v1::WorkPlan {
+    /// Returns the plan that the client submits.
+    pub fn work_plan(&self, class: &Class) -> v1::WorkPlan {
         let steps = (0..class.steps).map(|number| v1::WorkStep {
             count: class.tasks,
             cpu_milli: class.cpu_milli,
@@ -54,8 +56,8 @@
     }
 }
 
-/// How a queue of this class treats its jobs.
-pub fn queue(class: &Class, scenario: &Scenario) -> v1::QueuePolicy {
+/// Returns the policy of the queue of a class.
+pub fn queue_policy(class: &Class, scenario: &Scenario) -> v1::QueuePolicy {
     let advice = v1::AdvicePolicy {
         base_ms: scenario.advice.base_ms,
         per_worker_ms: scenario.advice.per_worker_ms,
@@ -72,41 +74,43 @@
     }
 }
 
-/// Draws the jobs of a play, in the order in which they come.
-pub fn draw(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
+/// Generates the jobs of a simulation, in the order of their submission.
+pub fn generate(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
     let mut rng = StdRng::seed_from_u64(seed);
     let length_ms = (scenario.length_s * 1_000.0) as u64;
     let mut arrivals = Vec::new();
     for (number, class) in scenario.classes.iter().enumerate() {
         let mut at_ms = 0.0;
         loop {
-            let rate = class.rate * burst_at(scenario, at_ms as u64);
+            let rate = class.rate * burst_factor(scenario, at_ms as u64);
             let uniform: f64 = rng.random_range(f64::MIN_POSITIVE..1.0);
             at_ms += -uniform.ln() / rate * 1_000.0;
             if at_ms as u64 >= length_ms {
                 break;
             }
-            arrivals.push(draw_one(&mut rng, at_ms as u64, number, class));
+            arrivals.push(generate_one(&mut rng, at_ms as u64, number, class));
         }
     }
     arrivals.sort_by_key(|arrival| (arrival.at_ms, arrival.key));
     arrivals
 }
 
-fn draw_one(rng: &mut StdRng, at_ms: u64, number: usize, class: &Class) -> Arrival {
-    let (least, most) = WORK_SPREAD;
+fn generate_one(rng: &mut StdRng, at_ms: u64, number: usize, class: &Class) -> Arrival {
+    let (min_factor, max_factor) = WORK_FACTORS;
     let work_ms = (0..class.steps)
         .map(|_| {
             (0..class.tasks)
-                .map(|_| (f64::from(class.work_ms) * rng.random_range(least..most)) as u64)
+                .map(|_| {
+                    (f64::from(class.work_ms) * rng.random_range(min_factor..max_factor)) as u64
+                })
                 .collect()
         })
         .collect();
     Arrival { at_ms, key: JobKey(rng.random()), class: number, work_ms }
 }
 
-/// How many times as many jobs come at a time.
-fn burst_at(scenario: &Scenario, at_ms: u64) -> f64 {
+/// Returns the factor by which bursts increase the rate of jobs at a time.
+fn burst_factor(scenario: &Scenario, at_ms: u64) -> f64 {
     let bursts = scenario.faults.iter().filter(|fault| fault.kind == FaultKind::Burst);
-    bursts.filter(|fault| fault.acts_at(at_ms)).map(|fault| fault.x).product()
+    bursts.filter(|fault| fault.is_active_at(at_ms)).map(|fault| fault.x).product()
 }
--- a/lilacpass-lab/src/bound.rs
+++ b/lilacpass-lab/src/bound.rs
@@ -1,10 +1,10 @@
-//! A bound on what any policy can reach: one large worker for each service that has what all its workers
-//! have together, is sound, knows how long each task takes, starts without advice or record, and
-//! gives room to the step whose job is late first.
+//! An upper bound for the result of any policy. Each service has a single large worker that has the capacity of all
+//! its workers together, is never faulty, knows the run time of each task, starts tasks without advice or records, and
+//! serves the step whose job becomes late first.
 //!
-//! No policy does better in the order in which it serves priorities; fragments of room, calls and faults
-//! are what lies between. Sorting by lateness is not the best order for the worth in an overload, so
-//! there a policy may come out above it.
+//! A policy that serves priorities in the same order can't do better; the difference is caused by fragmented capacity,
+//! calls and faults. In an overload, sorting by deadline doesn't give the highest worth, so there a policy may exceed
+//! the bound.
 
 use std::{
     cmp::Reverse,
@@ -15,64 +15,69 @@
 
 use crate::{
     arrivals::Arrival,
-    callers::{Caller, Standing},
+    callers::{Caller, JobStatus},
     outcome::{Outcome, Recorder},
     policy::Policy,
     scenario::{Class, Scenario},
 };
 
-/// What happens at a time, in the order in which it is handled.
+/// An event. Events of the same time are handled in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Moment {
+enum Event {
     /// A task of a job ends.
-    Ends { job: usize, step: usize },
-    /// A job comes.
-    Comes { job: usize },
+    TaskEnded { job: usize, step: usize },
+    /// A client submits a job.
+    JobSubmitted { job: usize },
 }
 
-/// A step that waits: its place first.
-type Place = (u32, u64, usize, usize);
+/// A waiting step: priority, time from which its job is late, number of the job and number of the step.
+type WaitingStep = (u32, u64, usize, usize);
 
+/// State of the simulation.
 struct Bound<'a> {
     scenario: &'a Scenario,
     arrivals: &'a [Arrival],
-    room: BTreeMap<&'a str, Resources>,
-    waiting: BTreeSet<Place>,
-    /// By job: tasks of its step that have not started, and that have not ended.
-    left: Vec<(usize, usize)>,
-    moments: BinaryHeap<Reverse<(u64, Moment)>>,
+    /// Free capacity of the single worker of each service.
+    free_capacity: BTreeMap<&'a str, Resources>,
+    /// Waiting steps in the order in which they are served.
+    waiting: BTreeSet<WaitingStep>,
+    /// For each job, the numbers of tasks of its current step that have not started and that have not ended.
+    remaining: Vec<(usize, usize)>,
+    /// Upcoming events by time in milliseconds.
+    events: BinaryHeap<Reverse<(u64, Event)>>,
     callers: Vec<Caller>,
 }
 
-/// Plays the bound.
-pub fn play(scenario: &Scenario, arrivals: &[Arrival], seed: u64) -> Outcome {
-    let mut room: BTreeMap<&str, Resources> = BTreeMap::new();
+/// Simulates a scenario and returns the bound.
+pub fn simulate(scenario: &Scenario, arrivals: &[Arrival], seed: u64) -> Outcome {
+    let mut free_capacity: BTreeMap<&str, Resources> = BTreeMap::new();
     for pool in &scenario.pools {
         let count = pool.workers as u64;
-        let all = Resources::new(
+        let pool_capacity = Resources::new(
             pool.cores * 1_000 * count,
             pool.memory_mb * count,
             pool.accelerators * count,
             0,
         );
-        let known = room.entry(pool.service.as_str()).or_insert(Resources::ZERO);
-        *known = known.plus(&all);
+        let total = free_capacity.entry(pool.service.as_str()).or_insert(Resources::ZERO);
+        *total = total.plus(&pool_capacity);
     }
-    let comes = |(job, arrival): (usize, &Arrival)| Reverse((arrival.at_ms, Moment::Comes { job }));
+    let submission =
+        |(job, arrival): (usize, &Arrival)| Reverse((arrival.at_ms, Event::JobSubmitted { job }));
     let mut bound = Bound {
         scenario,
         arrivals,
-        room,
+        free_capacity,
         waiting: BTreeSet::new(),
-        left: vec![(0, 0); arrivals.len()],
-        moments: arrivals.iter().enumerate().map(comes).collect(),
+        remaining: vec![(0, 0); arrivals.len()],
+        events: arrivals.iter().enumerate().map(submission).collect(),
         callers: vec![Caller::default(); arrivals.len()],
     };
-    while let Some(Reverse((now_ms, moment))) = bound.moments.pop() {
-        bound.take_in(moment, now_ms);
-        let next_ms = bound.moments.peek().map(|Reverse((at_ms, _))| *at_ms);
+    while let Some(Reverse((now_ms, event))) = bound.events.pop() {
+        bound.handle(event, now_ms);
+        let next_ms = bound.events.peek().map(|Reverse((at_ms, _))| *at_ms);
         if next_ms != Some(now_ms) {
-            bound.start_waiting(now_ms);
+            bound.start_waiting_steps(now_ms);
         }
     }
     let recorder = Recorder::new(scenario.classes.len());
@@ -84,43 +89,44 @@
         &self.scenario.classes[self.arrivals[job].class]
     }
 
-    fn take_in(&mut self, moment: Moment, now_ms: u64) {
-        match moment {
-            Moment::Comes { job } => self.step_waits(job, 0),
-            Moment::Ends { job, step } => self.task_ends(job, step, now_ms),
+    fn handle(&mut self, event: Event, now_ms: u64) {
+        match event {
+            Event::JobSubmitted { job } => self.enqueue_step(job, 0),
+            Event::TaskEnded { job, step } => self.handle_task_end(job, step, now_ms),
         }
     }
 
-    fn step_waits(&mut self, job: usize, step: usize) {
+    fn enqueue_step(&mut self, job: usize, step: usize) {
         let class = self.class(job);
         let tasks = class.tasks as usize;
-        self.left[job] = (tasks, tasks);
-        let (late_from_ms, _) = self.arrivals[job].due_ms(class);
+        self.remaining[job] = (tasks, tasks);
+        let (late_from_ms, _) = self.arrivals[job].deadlines_ms(class);
         self.waiting.insert((class.priority, late_from_ms, job, step));
     }
 
-    fn task_ends(&mut self, job: usize, step: usize, now_ms: u64) {
+    fn handle_task_end(&mut self, job: usize, step: usize, now_ms: u64) {
         let class = self.class(job);
-        let room = self.room.entry(class.service.as_str()).or_insert(Resources::ZERO);
-        *room = room.plus(&need(class));
-        self.left[job].1 -= 1;
-        if self.left[job].1 > 0 {
+        let free_capacity =
+            self.free_capacity.entry(class.service.as_str()).or_insert(Resources::ZERO);
+        *free_capacity = free_capacity.plus(&need(class));
+        self.remaining[job].1 -= 1;
+        if self.remaining[job].1 > 0 {
             return;
         }
         if step + 1 < class.steps as usize {
-            self.step_waits(job, step + 1);
+            self.enqueue_step(job, step + 1);
         } else {
-            self.callers[job].standing = Standing::Completed { at_ms: now_ms };
+            self.callers[job].status = JobStatus::Completed { at_ms: now_ms };
         }
     }
 
-    fn start_waiting(&mut self, now_ms: u64) {
-        let places: Vec<Place> = self.waiting.iter().copied().collect();
-        for place in places {
-            let (_, _, job, step) = place;
+    fn start_waiting_steps(&mut self, now_ms: u64) {
+        let waiting: Vec<WaitingStep> = self.waiting.iter().copied().collect();
+        for waiting_step in waiting {
+            let (_, _, job, step) = waiting_step;
             self.start_step(job, step, now_ms);
-            if self.left[job].0 == 0 {
-                self.waiting.remove(&place);
+            if self.remaining[job].0 == 0 {
+                self.waiting.remove(&waiting_step);
             }
         }
     }
@@ -128,15 +134,17 @@
     fn start_step(&mut self, job: usize, step: usize, now_ms: u64) {
         let class = self.class(job);
         let need = need(class);
-        while self.left[job].0 > 0 {
-            let Some(room) = self.room.get_mut(class.service.as_str()) else { return };
-            if !need.fits(room) {
+        while self.remaining[job].0 > 0 {
+            let Some(free_capacity) = self.free_capacity.get_mut(class.service.as_str()) else {
+                return;
+            };
+            if !need.fits(free_capacity) {
                 return;
             }
-            *room = room.minus(&need);
-            self.left[job].0 -= 1;
-            let work_ms = self.arrivals[job].work_ms[step][self.left[job].0];
-            self.moments.push(Reverse((now_ms + work_ms, Moment::Ends { job, step })));
+            *free_capacity = free_capacity.minus(&need);
+            self.remaining[job].0 -= 1;
+            let work_ms = self.arrivals[job].work_ms[step][self.remaining[job].0];
+            self.events.push(Reverse((now_ms + work_ms, Event::TaskEnded { job, step })));
         }
     }
 }
--- a/lilacpass-lab/src/callers.rs
+++ b/lilacpass-lab/src/callers.rs
@@ -1,60 +1,61 @@
-//! A model of callers: each hands its job in, and tries again where it is refused.
+//! A model of callers: each submits one job, and retries if it is refused.
 
 use lilacpass_lead::event::Response;
 
-/// How long a caller waits for an answer, in milliseconds.
+/// How long a caller waits for a response, in milliseconds.
 pub const PATIENCE_MS: u64 = 3_000;
-/// How often a caller tries again.
-const MOST_RETRIES: u32 = 4;
+/// Maximum number of retries of a caller.
+const MAX_RETRIES: u32 = 4;
 
-/// Where a job stands with its caller.
+/// The status of a job from the point of view of its caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
-    /// It has not come yet, or its caller waits for an answer.
+pub enum JobStatus {
+    /// The job has not been submitted yet, or its caller waits for a response.
     #[default]
     Open,
-    /// It was accepted.
+    /// The leader accepted the job.
     Accepted,
-    /// Its caller has given up.
+    /// The caller gave up submitting the job.
     GivenUp,
-    /// It is completed.
+    /// The job is completed.
     Completed {
-        /// When its outcome was stored.
+        /// Time at which the outcome was stored, in milliseconds since the start of the scenario.
         at_ms: u64,
     },
-    /// A task has failed too often.
+    /// The job failed.
     Failed,
 }
 
 /// The caller of one job.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Caller {
-    /// Where its job stands.
-    pub standing: Standing,
-    tries: u32,
+    /// The status of the caller's job.
+    pub status: JobStatus,
+    /// Number of attempts that were refused.
+    refused_attempts: u32,
 }
 
 impl Caller {
-    /// Takes an answer in. Returns when the caller tries again, if it does.
-    pub fn answered(&mut self, answer: &Response, now_ms: u64) -> Option<u64> {
-        if self.standing != Standing::Open {
+    /// Handles a response of the leader. Returns the time of the next attempt, or `None` if there is none.
+    pub fn handle_response(&mut self, response: &Response, now_ms: u64) -> Option<u64> {
+        if self.status != JobStatus::Open {
             return None;
         }
-        match answer {
+        match response {
             Response::Done => {
-                self.standing = Standing::Accepted;
+                self.status = JobStatus::Accepted;
                 None
             }
             Response::Refused { retry_after_ms, .. } => {
-                self.tries += 1;
-                if self.tries > MOST_RETRIES {
-                    self.standing = Standing::GivenUp;
+                self.refused_attempts += 1;
+                if self.refused_attempts > MAX_RETRIES {
+                    self.status = JobStatus::GivenUp;
                     return None;
                 }
                 Some(now_ms + u64::from(*retry_after_ms))
             }
             _ => {
-                self.standing = Standing::GivenUp;
+                self.status = JobStatus::GivenUp;
                 None
             }
         }
--- a/lilacpass-lab/src/cell.rs
+++ b/lilacpass-lab/src/cell.rs
@@ -1,9 +1,10 @@
-//! A model of a cell around the real leader, under made-up time.
+//! A simulation of a cell around the real leader, with simulated time.
 //!
-//! Modelled: workers with room, leases, ends and saved progress; appends one at a time; calls for advice;
-//! callers that try again; bursts, slow and failing workers, a store that is slow or away, advice that
-//! is silent. Left out: other instances and take-overs, lost messages, cancelled jobs, racks that make
-//! tasks slow, and the processor of the leader: deciding takes no made-up time, and is measured beside.
+//! The model includes workers with capacity, leases, ends and checkpoints; one append at a time; calls of the advice
+//! service; callers that retry; bursts; slow, failing, crashing and shrinking workers; a slow or unavailable store; and
+//! an unresponsive advice service. It leaves out other instances and take-overs, lost messages, cancelled jobs, tasks
+//! that are slow across racks, and the processor time of the leader: a scheduling round takes no simulated time, its
+//! real time is measured separately.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -20,9 +21,9 @@
 use prost::Message;
 
 use crate::{
-    arrivals::{self, Arrival, DAY_MS},
-    callers::{Caller, Standing},
-    model_worker::{ModelWorker, Running, WaitingLook},
+    arrivals::{self, Arrival, START_UNIX_MS},
+    callers::{Caller, JobStatus},
+    model_worker::{ModelRun, ModelWorker, WaitingPoll},
     outcome::{Outcome, Recorder},
     policy::Policy,
     scenario::{FaultKind, Scenario},
@@ -30,104 +31,113 @@
 };
 
 /// Time between ticks of the leader.
-const TICK_MS: u64 = 50;
-/// Time between confirmations that it still leads.
-const RENEWAL_MS: u64 = 200;
-/// Time between looks at the registrations.
-const REGISTRY_MS: u64 = 500;
-/// Time before the first job, in which the leader meets its workers.
-const START_MS: u64 = 1_000;
-/// One way between the leader and a worker.
-pub(crate) const HOP_MS: u64 = 1;
-/// An append that is refused is answered after so long.
-const REFUSED_MS: u64 = 2;
-/// Interval of the samples of use and of waiting tasks.
-const SAMPLE_MS: u64 = 1_000;
-/// How long a task that fails has worked, as a part of its work.
-const FAILS_AFTER: f64 = 0.5;
+const TICK_INTERVAL_MS: u64 = 50;
+/// Time between confirmations of the leadership.
+const RENEWAL_INTERVAL_MS: u64 = 200;
+/// Time between two reads of the registrations.
+const REGISTRATIONS_INTERVAL_MS: u64 = 500;
+/// Time of the start of the scenario. The leader polls its workers for the first time before it.
+const FIRST_JOB_MS: u64 = 1_000;
+/// Time that a message takes between the leader and a worker, one way.
+pub(crate) const ONE_WAY_DELAY_MS: u64 = 1;
+/// Time after which the store refuses an append.
+const REFUSAL_DELAY_MS: u64 = 2;
+/// Time between two samples of the processor use and the waiting steps.
+const SAMPLE_INTERVAL_MS: u64 = 1_000;
+/// Fraction of its work after which a failing task ends.
+const FAILURE_POINT: f64 = 0.5;
 
+/// A scheduled action of the simulation.
 #[derive(Debug)]
 pub(crate) enum Action {
-    /// An event reaches the leader.
-    Tell(Event),
-    /// An effect reaches its receiver.
-    Arrive(Effect),
-    /// Something may happen on a worker.
-    Worker(usize),
-    /// A caller hands its job in.
+    /// Delivers an event to the leader.
+    Deliver(Event),
+    /// Carries out an effect of the leader.
+    CarryOut(Effect),
+    /// Ends the runs and the poll that are due on the worker with this index.
+    AdvanceWorker(usize),
+    /// Submits the job with this index.
     Submit(usize),
+    /// Sends a tick to the leader.
     Tick,
+    /// Confirms the leadership, unless the store is unavailable.
     Renew,
-    Registry,
+    /// Reports the registrations of the workers to the leader.
+    ReadRegistrations,
+    /// Records the processor use and the number of waiting steps.
     Sample,
-    /// A worker crashes, if it is still this one.
-    Crash {
-        at: usize,
-        worker: WorkerName,
-    },
-    /// A worker that crashed is back.
-    Return(usize),
+    /// Crashes the worker with index `at`, if its incarnation is still `worker`.
+    Crash { index: usize, worker: WorkerName },
+    /// Restarts the crashed worker with this index.
+    Restart(usize),
 }
 
-/// A play of a policy.
-pub(crate) struct Cell<'a> {
+/// The state of a simulation of one policy.
+pub(crate) struct Simulation<'a> {
     pub(crate) scenario: &'a Scenario,
     pub(crate) arrivals: &'a [Arrival],
-    by_key: HashMap<JobKey, usize>,
+    /// Indices into `arrivals` by the names of the jobs.
+    job_indices: HashMap<JobKey, usize>,
     pub(crate) seed: u64,
     pub(crate) leader: Leader,
     pub(crate) now_ms: u64,
     pub(crate) workers: Vec<ModelWorker>,
-    pub(crate) by_name: BTreeMap<WorkerName, usize>,
-    /// Lives of workers that began after a crash.
-    pub(crate) lives: u64,
-    /// Starts of each task that crashes its workers.
-    pub(crate) starts_of_crashing: BTreeMap<TaskName, u32>,
+    /// Indices into `workers` by the names of their current incarnations.
+    pub(crate) worker_indices: BTreeMap<WorkerName, usize>,
+    /// Number of worker incarnations that started after a crash.
+    pub(crate) incarnations: u64,
+    /// Number of starts of each task that crashes its workers.
+    pub(crate) crashing_task_starts: BTreeMap<TaskName, u32>,
     callers: Vec<Caller>,
     pub(crate) recorder: Recorder,
-    /// Tasks that are done, by step.
-    done: HashMap<StepName, u32>,
+    /// Number of tasks that are done, by step.
+    done_tasks: HashMap<StepName, u32>,
     actions: EventQueue<Action>,
-    /// When the append under way is done; the next waits for it.
+    /// Time at which the current append is done; the next one waits for it.
     store_free_ms: u64,
-    /// Until when each lane is busy with a call.
+    /// Time until which each lane is busy with a call.
     lanes_free_ms: HashMap<Lane, u64>,
 }
 
-/// Plays a scenario with the real leader under these options.
-pub fn play(
+/// Simulates a scenario with the real leader, configured by `options`.
+pub fn simulate(
     scenario: &Scenario,
     arrivals: &[Arrival],
     policy: Policy,
     options: Options,
     seed: u64,
 ) -> Outcome {
-    let mut cell = Cell::new(scenario, arrivals, options, seed);
-    let end_ms = START_MS + ((scenario.length_s + scenario.rest_s) * 1_000.0) as u64;
-    cell.run(end_ms);
-    cell.recorder.most_crashing_starts =
-        cell.starts_of_crashing.values().copied().max().unwrap_or(0);
-    let Cell { recorder, callers, .. } = cell;
+    let mut simulation = Simulation::new(scenario, arrivals, options, seed);
+    let end_ms = FIRST_JOB_MS + ((scenario.length_s + scenario.rest_s) * 1_000.0) as u64;
+    simulation.run(end_ms);
+    simulation.recorder.most_crashing_starts =
+        simulation.crashing_task_starts.values().copied().max().unwrap_or(0);
+    let Simulation { recorder, callers, .. } = simulation;
     recorder.finish(policy.to_string(), seed, scenario, arrivals, &callers)
 }
 
-impl<'a> Cell<'a> {
+impl<'a> Simulation<'a> {
     fn new(scenario: &'a Scenario, arrivals: &'a [Arrival], options: Options, seed: u64) -> Self {
         let workers: Vec<ModelWorker> =
             scenario.pools.iter().flat_map(workers::registrations).map(ModelWorker::new).collect();
-        let names = workers.iter().enumerate().map(|(at, worker)| (worker.name().clone(), at));
-        let start = Now { steady_ms: 0, unix_ms: DAY_MS };
-        let mut cell = Self {
-            by_name: names.collect(),
-            by_key: arrivals.iter().enumerate().map(|(job, a)| (a.key, job)).collect(),
+        let names =
+            workers.iter().enumerate().map(|(index, worker)| (worker.name().clone(), index));
+        let start = Now { steady_ms: 0, unix_ms: START_UNIX_MS };
+        let mut simulation = Self {
+            worker_indices: names.collect(),
+            job_indices: arrivals
+                .iter()
+                .enumerate()
+                .map(|(job, arrival)| (arrival.key, job))
+                .collect(),
             leader: Leader::new(options, Vec::new(), start),
             now_ms: 0,
-            lives: 0,
-            starts_of_crashing: BTreeMap::new(),
+            incarnations: 0,
+            crashing_task_starts: BTreeMap::new(),
             workers,
             callers: vec![Caller::default(); arrivals.len()],
             recorder: Recorder::new(scenario.classes.len()),
-            done: HashMap::new(),
+            done_tasks: HashMap::new(),
             actions: EventQueue::default(),
             store_free_ms: 0,
             lanes_free_ms: HashMap::new(),
@@ -135,101 +145,101 @@
             arrivals,
             seed,
         };
-        for action in [Action::Registry, Action::Tick, Action::Renew] {
-            cell.plan(0, action);
+        for action in [Action::ReadRegistrations, Action::Tick, Action::Renew] {
+            simulation.schedule(0, action);
         }
-        cell.plan(START_MS, Action::Sample);
+        simulation.schedule(FIRST_JOB_MS, Action::Sample);
         for (job, arrival) in arrivals.iter().enumerate() {
-            cell.plan(START_MS + arrival.at_ms, Action::Submit(job));
+            simulation.schedule(FIRST_JOB_MS + arrival.at_ms, Action::Submit(job));
         }
-        cell
+        simulation
     }
 
-    /// Milliseconds from the first job.
-    pub(crate) fn play_ms(&self) -> u64 {
-        self.now_ms.saturating_sub(START_MS)
+    /// Returns the time since the start of the scenario, in milliseconds.
+    pub(crate) fn scenario_ms(&self) -> u64 {
+        self.now_ms.saturating_sub(FIRST_JOB_MS)
     }
 
     pub(crate) fn now(&self) -> Now {
-        Now { steady_ms: self.now_ms, unix_ms: DAY_MS + self.now_ms }
+        Now { steady_ms: self.now_ms, unix_ms: START_UNIX_MS + self.now_ms }
     }
 
-    pub(crate) fn plan(&mut self, at_ms: u64, action: Action) {
+    pub(crate) fn schedule(&mut self, at_ms: u64, action: Action) {
         self.actions.schedule(at_ms, action);
     }
 
     fn run(&mut self, end_ms: u64) {
         while let Some((at_ms, action)) = self.actions.pop_until(end_ms) {
             self.now_ms = at_ms;
-            self.act(action);
+            self.handle_action(action);
             if self.actions.next_ms() != Some(self.now_ms) {
-                self.decide();
+                self.run_round();
             }
         }
     }
 
-    /// Has the leader decide what follows from all that happened at this time.
-    fn decide(&mut self) {
+    /// Runs a scheduling round of the leader after all events of the current time, and schedules its effects.
+    fn run_round(&mut self) {
         let now = self.now();
-        let begin = Instant::now();
+        let started = Instant::now();
         let effects = self.leader.finish(now);
-        self.recorder.round(begin.elapsed());
+        self.recorder.record_round(started.elapsed());
         for effect in effects {
             let delay_ms = match &effect {
                 Effect::Reply { .. } | Effect::Append(_) | Effect::RequestAdvice { .. } => 0,
-                _ => HOP_MS,
+                _ => ONE_WAY_DELAY_MS,
             };
-            self.plan(self.now_ms + delay_ms, Action::Arrive(effect));
+            self.schedule(self.now_ms + delay_ms, Action::CarryOut(effect));
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn handle_action(&mut self, action: Action) {
         match action {
-            Action::Tell(event) => self.leader.handle(event, self.now()),
-            Action::Arrive(effect) => self.arrive(effect),
-            Action::Worker(at) => self.worker_advances(at),
+            Action::Deliver(event) => self.leader.handle(event, self.now()),
+            Action::CarryOut(effect) => self.carry_out(effect),
+            Action::AdvanceWorker(index) => self.advance_worker(index),
             Action::Submit(job) => self.submit(job),
             Action::Tick => {
-                self.plan(self.now_ms + TICK_MS, Action::Tick);
+                self.schedule(self.now_ms + TICK_INTERVAL_MS, Action::Tick);
                 self.leader.handle(Event::Tick, self.now());
             }
             Action::Renew => self.renew(),
-            Action::Registry => self.read_registry(),
+            Action::ReadRegistrations => self.read_registrations(),
             Action::Sample => self.sample(),
-            Action::Crash { at, worker } => self.crash(at, &worker),
-            Action::Return(at) => self.comes_back(at),
+            Action::Crash { index, worker } => self.crash(index, &worker),
+            Action::Restart(index) => self.restart(index),
         }
     }
 
     fn renew(&mut self) {
-        self.plan(self.now_ms + RENEWAL_MS, Action::Renew);
-        let play_ms = self.play_ms();
-        if services::append_ms(self.scenario, play_ms).is_some() {
+        self.schedule(self.now_ms + RENEWAL_INTERVAL_MS, Action::Renew);
+        let scenario_ms = self.scenario_ms();
+        if services::append_ms(self.scenario, scenario_ms).is_some() {
             let sent_ms = self.now_ms;
             self.leader.handle(Event::LeadershipConfirmed { sent_ms }, self.now());
         }
     }
 
-    fn read_registry(&mut self) {
+    fn read_registrations(&mut self) {
         let now = self.now();
         if self.now_ms == 0 {
             for worker in &self.workers {
-                self.leader.handle(Event::WorkerRegistered(worker.entry.clone()), now);
+                self.leader.handle(Event::WorkerRegistered(worker.registration.clone()), now);
             }
             let lanes = (0..self.scenario.advice.lanes).map(|n| Lane(format!("lane-{n:03}")));
             self.leader.handle(Event::Lanes(lanes.collect()), now);
         }
         self.set_capacities();
         self.leader.handle(Event::RegistrationsRead, now);
-        self.plan(self.now_ms + REGISTRY_MS, Action::Registry);
+        self.schedule(self.now_ms + REGISTRATIONS_INTERVAL_MS, Action::ReadRegistrations);
     }
 
     fn sample(&mut self) {
-        self.plan(self.now_ms + SAMPLE_MS, Action::Sample);
+        self.schedule(self.now_ms + SAMPLE_INTERVAL_MS, Action::Sample);
         let cpu = |resources: Resources| resources.cpu.0 as f64;
         let used: f64 = self.workers.iter().map(|worker| cpu(worker.used())).sum();
-        let all: f64 = self.workers.iter().map(|worker| cpu(worker.entry.capacity)).sum();
-        self.recorder.use_by_s.push(used / all.max(1.0));
+        let total: f64 = self.workers.iter().map(|worker| cpu(worker.registration.capacity)).sum();
+        self.recorder.use_by_s.push(used / total.max(1.0));
         self.recorder.waiting_by_s.push(self.leader.status(self.now()).waiting_steps);
     }
 
@@ -237,86 +247,87 @@
         let arrival = &self.arrivals[job];
         let class = &self.scenario.classes[arrival.class];
         let step = StepName { job: arrival.key, occurrence: 0, step: 0 };
-        self.recorder.ready(step, self.now_ms);
+        self.recorder.record_ready(step, self.now_ms);
         let request = Request::Submit {
             job: arrival.key,
-            plan: arrival.plan(class),
-            queue: arrivals::queue(class, self.scenario),
+            plan: arrival.work_plan(class),
+            queue: arrivals::queue_policy(class, self.scenario),
         };
         self.leader
             .handle(Event::Request { request_id: RequestId(job as u64), request }, self.now());
     }
 
-    fn arrive(&mut self, effect: Effect) {
+    fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Reply { request_id, response } => self.caller_hears(request_id, &response),
+            Effect::Reply { request_id, response } => self.deliver_response(request_id, &response),
             Effect::Append(records) => self.append(&records),
             Effect::RequestAdvice { lane, step, workers, .. } => self.advise(lane, step, workers),
             Effect::Poll { worker, lease_until_ms, forget_up_to, wait_ms, extra, .. } => {
-                self.look(&worker, lease_until_ms, forget_up_to, wait_ms, extra);
+                self.poll(&worker, lease_until_ms, forget_up_to, wait_ms, extra);
             }
             Effect::Start { worker, task, run, lease_until_ms, checkpoint, .. } => {
                 let result = self.start(&worker, task, run, lease_until_ms, &checkpoint);
                 let event = Event::Started { worker, task, run, result };
-                self.plan(self.now_ms + HOP_MS, Action::Tell(event));
+                self.schedule(self.now_ms + ONE_WAY_DELAY_MS, Action::Deliver(event));
             }
             Effect::Stop { worker, task, run, .. } => {
                 self.stop(&worker, task, run);
                 let event = Event::Stopped { worker, task, run, result: Ok(()) };
-                self.plan(self.now_ms + HOP_MS, Action::Tell(event));
+                self.schedule(self.now_ms + ONE_WAY_DELAY_MS, Action::Deliver(event));
             }
             Effect::Deposed => log::error!("the only leader is deposed"),
         }
     }
 
-    fn caller_hears(&mut self, request_id: RequestId, answer: &Response) {
+    fn deliver_response(&mut self, request_id: RequestId, response: &Response) {
         let job = request_id.0 as usize;
-        if let Some(again_ms) = self.callers[job].answered(answer, self.now_ms) {
-            self.plan(again_ms, Action::Submit(job));
+        if let Some(retry_ms) = self.callers[job].handle_response(response, self.now_ms) {
+            self.schedule(retry_ms, Action::Submit(job));
         }
     }
 
     fn append(&mut self, records: &[Record]) {
-        let play_ms = self.play_ms();
-        let Some(takes_ms) = services::append_ms(self.scenario, play_ms) else {
-            return self.plan(self.now_ms + REFUSED_MS, Action::Tell(Event::NotAppended));
+        let scenario_ms = self.scenario_ms();
+        let Some(duration_ms) = services::append_ms(self.scenario, scenario_ms) else {
+            return self
+                .schedule(self.now_ms + REFUSAL_DELAY_MS, Action::Deliver(Event::NotAppended));
         };
-        self.store_free_ms = self.store_free_ms.max(self.now_ms) + takes_ms;
+        self.store_free_ms = self.store_free_ms.max(self.now_ms) + duration_ms;
         let stored_ms = self.store_free_ms;
         for record in records {
-            self.note_outcome(record, stored_ms);
+            self.record_outcome(record, stored_ms);
         }
-        self.plan(stored_ms, Action::Tell(Event::Appended));
+        self.schedule(stored_ms, Action::Deliver(Event::Appended));
     }
 
-    /// A job is completed for its caller once that is stored.
-    fn note_outcome(&mut self, record: &Record, stored_ms: u64) {
+    /// Records the outcome of a job. Its caller sees the outcome once it is stored.
+    fn record_outcome(&mut self, record: &Record, stored_ms: u64) {
         let Some(record::Key::State(key)) = record::parse_key(&record.key) else { return };
-        let Some(&job) = self.by_key.get(&key) else { return };
+        let Some(&job) = self.job_indices.get(&key) else { return };
         let Ok(state) = v1::StateRecord::decode(record.value.as_slice()) else { return };
-        let at_ms = stored_ms.saturating_sub(START_MS);
-        let standing = match state.outcome {
-            1 => Standing::Completed { at_ms },
-            2 => Standing::Failed,
+        let at_ms = stored_ms.saturating_sub(FIRST_JOB_MS);
+        let status = match state.outcome {
+            1 => JobStatus::Completed { at_ms },
+            2 => JobStatus::Failed,
             _ => return,
         };
-        let is_open = matches!(self.callers[job].standing, Standing::Open | Standing::Accepted);
+        let is_open = matches!(self.callers[job].status, JobStatus::Open | JobStatus::Accepted);
         if is_open {
-            self.callers[job].standing = standing;
+            self.callers[job].status = status;
         }
     }
 
     fn advise(&mut self, lane: Lane, step: StepName, workers: Vec<WorkerName>) {
-        let play_ms = self.play_ms();
-        let (takes_ms, advice) = services::advise(self.scenario, step, &workers, play_ms);
+        let scenario_ms = self.scenario_ms();
+        let (duration_ms, advice) = services::advise(self.scenario, step, &workers, scenario_ms);
         let free_ms = self.lanes_free_ms.get(&lane).copied().unwrap_or(0).max(self.now_ms);
-        let answered_ms = free_ms + takes_ms + HOP_MS;
-        self.lanes_free_ms.insert(lane.clone(), answered_ms);
+        let response_ms = free_ms + duration_ms + ONE_WAY_DELAY_MS;
+        self.lanes_free_ms.insert(lane.clone(), response_ms);
         let event = Event::AdviceReceived { lane, step, asked: workers, advice };
-        self.plan(answered_ms, Action::Tell(event));
+        self.schedule(response_ms, Action::Deliver(event));
     }
 
-    fn look(
+    fn poll(
         &mut self,
         name: &WorkerName,
         lease_until_ms: Option<u64>,
@@ -324,68 +335,68 @@
         wait_ms: u64,
         extra: bool,
     ) {
-        let Some(&at) = self.by_name.get(name) else {
-            return self.look_at_former_life(name, extra);
+        let Some(&index) = self.worker_indices.get(name) else {
+            return self.answer_for_former_incarnation(name, extra);
         };
         let now_ms = self.now_ms;
-        let worker = &mut self.workers[at];
-        if worker.is_away {
-            return self.unanswered_look(name, now_ms, extra);
+        let worker = &mut self.workers[index];
+        if worker.is_down {
+            return self.fail_poll(name, now_ms, extra);
         }
-        worker.look(lease_until_ms, forget_up_to);
-        if wait_ms == 0 || worker.lists_ends() {
-            return self.answer_look(at, now_ms, extra);
+        worker.poll(lease_until_ms, forget_up_to);
+        if wait_ms == 0 || worker.has_ends() {
+            return self.answer_poll(index, now_ms, extra);
         }
         let until_ms = now_ms + wait_ms;
-        worker.waiting_look = Some(WaitingLook { sent_ms: now_ms, until_ms });
-        self.plan(until_ms, Action::Worker(at));
-        self.plan_next(at);
+        worker.waiting_poll = Some(WaitingPoll { sent_ms: now_ms, until_ms });
+        self.schedule(until_ms, Action::AdvanceWorker(index));
+        self.schedule_next(index);
     }
 
-    fn answer_look(&mut self, at: usize, sent_ms: u64, extra: bool) {
-        let worker = &self.workers[at];
+    fn answer_poll(&mut self, index: usize, sent_ms: u64, extra: bool) {
+        let worker = &self.workers[index];
         let event = Event::Polled {
             worker: worker.name().clone(),
             sent_ms,
             extra,
-            result: Ok(worker.look_answer(self.now_ms)),
+            result: Ok(worker.poll_response(self.now_ms)),
         };
-        self.plan(self.now_ms + HOP_MS, Action::Tell(event));
+        self.schedule(self.now_ms + ONE_WAY_DELAY_MS, Action::Deliver(event));
     }
 
-    fn plan_next(&mut self, at: usize) {
-        if let Some(next_ms) = self.workers[at].next_ms() {
-            self.plan(next_ms.max(self.now_ms), Action::Worker(at));
+    fn schedule_next(&mut self, index: usize) {
+        if let Some(next_ms) = self.workers[index].next_ms() {
+            self.schedule(next_ms.max(self.now_ms), Action::AdvanceWorker(index));
         }
     }
 
-    fn worker_advances(&mut self, at: usize) {
+    fn advance_worker(&mut self, index: usize) {
         let now_ms = self.now_ms;
-        let ends = self.workers[at].advance(now_ms);
-        for row in &ends {
-            if row.end.reason == EndReason::Done {
-                self.note_next_step(row.task.step);
+        let ends = self.workers[index].advance(now_ms);
+        for ended in &ends {
+            if ended.end.reason == EndReason::Done {
+                self.record_ready_step(ended.task.step);
             }
         }
         if !ends.is_empty() {
-            self.plan_next(at);
+            self.schedule_next(index);
         }
-        let waiting = self.workers[at].waiting_look;
-        if let Some(look) = waiting.filter(|look| !ends.is_empty() || look.until_ms <= now_ms) {
-            self.workers[at].waiting_look = None;
-            self.answer_look(at, look.sent_ms, false);
+        let waiting = self.workers[index].waiting_poll;
+        if let Some(poll) = waiting.filter(|poll| !ends.is_empty() || poll.until_ms <= now_ms) {
+            self.workers[index].waiting_poll = None;
+            self.answer_poll(index, poll.sent_ms, false);
         }
     }
 
-    /// From the last end of its tasks on, the step after it could start.
-    fn note_next_step(&mut self, step: StepName) {
-        let Some(&job) = self.by_key.get(&step.job) else { return };
+    /// Counts a finished task of a step. The next step is ready once all tasks of this one are done.
+    fn record_ready_step(&mut self, step: StepName) {
+        let Some(&job) = self.job_indices.get(&step.job) else { return };
         let tasks = self.scenario.classes[self.arrivals[job].class].tasks;
-        let done = self.done.entry(step).or_default();
+        let done = self.done_tasks.entry(step).or_default();
         *done += 1;
         if *done >= tasks {
             let next = StepName { step: step.step + 1, ..step };
-            self.recorder.ready(next, self.now_ms);
+            self.recorder.record_ready(next, self.now_ms);
         }
     }
 
@@ -397,62 +408,69 @@
         lease_until_ms: u64,
         checkpoint: &str,
     ) -> Result<(), CallError> {
-        let Some(&at) = self.by_name.get(name) else { return Err(CallError::OtherLife) };
-        let Some(&job) = self.by_key.get(&task.step.job) else { return Ok(()) };
-        if self.workers[at].is_away {
+        let Some(&index) = self.worker_indices.get(name) else { return Err(CallError::OtherLife) };
+        let Some(&job) = self.job_indices.get(&task.step.job) else { return Ok(()) };
+        if self.workers[index].is_down {
             return Err(CallError::Failed(Verdict::MayHaveRun));
         }
-        let running = self.begin(at, job, task, run, checkpoint);
-        self.judge_room(at, &running.need);
-        let result = self.workers[at].start(task, running, lease_until_ms);
+        let model_run = self.new_run(index, job, task, run, checkpoint);
+        self.check_capacity(index, &model_run.need);
+        let result = self.workers[index].start(task, model_run, lease_until_ms);
         if result.is_ok() && run == 1 {
             let class = self.arrivals[job].class;
-            self.recorder.started(task.step, class, self.now_ms);
+            self.recorder.record_start(task.step, class, self.now_ms);
         }
         if result.is_ok() {
-            self.may_crash(at, job, task);
+            self.schedule_crash(index, job, task);
         }
-        self.plan_next(at);
+        self.schedule_next(index);
         result
     }
 
-    fn begin(&self, at: usize, job: usize, task: TaskName, run: u32, checkpoint: &str) -> Running {
+    fn new_run(
+        &self,
+        index: usize,
+        job: usize,
+        task: TaskName,
+        run: u32,
+        checkpoint: &str,
+    ) -> ModelRun {
         let arrival = &self.arrivals[job];
         let class = &self.scenario.classes[arrival.class];
         let work_ms = arrival.work_ms[task.step.step as usize][task.index as usize];
-        // Without a checkpoint there is none to read.
+        // The checkpoint is the work done in milliseconds; an empty one means that no work is done.
         let saved_ms = checkpoint.parse().unwrap_or(0).min(work_ms);
-        let conditions = workers::Conditions {
+        let conditions = workers::WorkerConditions {
             scenario: self.scenario,
             seed: self.seed,
-            worker: at,
-            at_ms: self.play_ms(),
+            worker: index,
+            at_ms: self.scenario_ms(),
         };
         let slowness = conditions.strength(FaultKind::SlowWorkers).unwrap_or(1.0);
         let fails = conditions
             .strength(FaultKind::FailingWorkers)
-            .is_some_and(|part| workers::drawn(&(self.seed, task, run)) < part);
-        let part = if fails { FAILS_AFTER } else { 1.0 };
-        let left_ms = (work_ms - saved_ms) as f64 * slowness * part;
-        Running {
+            .is_some_and(|share| workers::pseudo_random(&(self.seed, task, run)) < share);
+        let work_share = if fails { FAILURE_POINT } else { 1.0 };
+        let remaining_ms = (work_ms - saved_ms) as f64 * slowness * work_share;
+        ModelRun {
             run,
-            need: lilacpass_lead::place::need(&arrival.plan(class).steps[0]),
-            began_ms: self.now_ms,
-            ends_ms: self.now_ms + (left_ms as u64).max(1),
-            how: if fails { EndReason::Failed } else { EndReason::Done },
+            need: lilacpass_lead::place::need(&arrival.work_plan(class).steps[0]),
+            started_ms: self.now_ms,
+            ends_ms: self.now_ms + (remaining_ms as u64).max(1),
+            reason: if fails { EndReason::Failed } else { EndReason::Done },
             saved_ms,
             slowness,
-            saves: class.checkpointing,
+            saves_progress: class.checkpointing,
         }
     }
 
     fn stop(&mut self, name: &WorkerName, task: TaskName, run: u32) {
-        let Some(&at) = self.by_name.get(name) else { return };
-        let lost_ms = self.workers[at].stop(task, run, self.now_ms);
-        if let Some(&job) = self.by_key.get(&task.step.job) {
+        let Some(&index) = self.worker_indices.get(name) else { return };
+        let lost_ms = self.workers[index].stop(task, run, self.now_ms);
+        if let Some(&job) = self.job_indices.get(&task.step.job) {
             let cpu_milli = self.scenario.classes[self.arrivals[job].class].cpu_milli;
-            self.recorder.thrown_away_milli_ms += lost_ms * u64::from(cpu_milli);
+            self.recorder.wasted_milli_core_ms += lost_ms * u64::from(cpu_milli);
         }
-        self.plan_next(at);
+        self.schedule_next(index);
     }
 }
--- a/lilacpass-lab/src/cli.rs
+++ b/lilacpass-lab/src/cli.rs
@@ -14,31 +14,31 @@
     scenario::{self, Scenario},
 };
 
-/// Compares policies of the leader on a model of a cell.
+/// Compares scheduling policies of the leader on a model of a cell.
 #[derive(Debug, Parser)]
 #[command(name = "lilacpass-lab", version)]
 pub struct Args {
-    /// Scenarios: TOML files.
+    /// Scenario files in TOML format.
     #[arg(required = true)]
     pub scenarios: Vec<PathBuf>,
-    /// Policies to compare, with commas between; `all` for each there is.
+    /// Policies to compare, separated by commas; `all` compares all policies.
     #[arg(long, default_value = "bound,today,first-fit,least-loaded,random,two-choices")]
     pub policies: String,
-    /// Seeds, with commas between.
+    /// Random seeds, separated by commas.
     #[arg(long, value_delimiter = ',', default_value = "1,2,3")]
     pub seeds: Vec<u64>,
-    /// Plays at the same time.
+    /// Number of simulations that run in parallel.
     #[arg(long, default_value_t = 4)]
     pub jobs: usize,
-    /// Where to write all figures as JSON; with several scenarios each replaces `{}` by its name.
+    /// JSON file for all results; `{}` is replaced by the name of the scenario.
     #[arg(long)]
     pub json: Option<String>,
-    /// Folder for plots.
+    /// Folder for plots; it is created if it does not exist.
     #[arg(long)]
     pub plots: Option<PathBuf>,
 }
 
-/// Runs the tool.
+/// Runs the program.
 pub fn run() -> ExitCode {
     env_logger::init();
     let args = Args::parse();
@@ -77,29 +77,30 @@
     text.split(',').map(|name| name.trim().parse()).collect()
 }
 
-/// Plays each policy with each seed, `jobs` at a time.
+/// Simulates each policy with each seed, `jobs` simulations in parallel.
 pub fn compare(scenario: &Scenario, policies: &[Policy], seeds: &[u64], jobs: usize) -> Comparison {
-    let pairs = policies.iter().flat_map(|policy| seeds.iter().map(move |seed| (*policy, *seed)));
-    let pairs: Vec<(Policy, u64)> = pairs.collect();
-    let mut outcomes = Vec::with_capacity(pairs.len());
-    for chunk in pairs.chunks(jobs.max(1)) {
-        let played = thread::scope(|scope| {
-            let plays: Vec<_> = chunk
+    let simulations =
+        policies.iter().flat_map(|policy| seeds.iter().map(move |seed| (*policy, *seed)));
+    let simulations: Vec<(Policy, u64)> = simulations.collect();
+    let mut outcomes = Vec::with_capacity(simulations.len());
+    for chunk in simulations.chunks(jobs.max(1)) {
+        let finished = thread::scope(|scope| {
+            let threads: Vec<_> = chunk
                 .iter()
-                .map(|&(policy, seed)| scope.spawn(move || play(scenario, policy, seed)))
+                .map(|&(policy, seed)| scope.spawn(move || simulate(scenario, policy, seed)))
                 .collect();
-            plays.into_iter().map(|play| play.join().expect("a play ends")).collect::<Vec<_>>()
+            threads.into_iter().map(|t| t.join().expect("no panic")).collect::<Vec<_>>()
         });
-        outcomes.extend(played);
+        outcomes.extend(finished);
     }
     Comparison { scenario: scenario.name.clone(), outcomes }
 }
 
-/// Plays a policy.
-pub fn play(scenario: &Scenario, policy: Policy, seed: u64) -> Outcome {
-    let arrivals = arrivals::draw(scenario, seed);
+/// Simulates a scenario with one policy and one seed.
+pub fn simulate(scenario: &Scenario, policy: Policy, seed: u64) -> Outcome {
+    let arrivals = arrivals::generate(scenario, seed);
     match policy.options() {
-        Some(options) => cell::play(scenario, &arrivals, policy, options, seed),
-        None => bound::play(scenario, &arrivals, seed),
+        Some(options) => cell::simulate(scenario, &arrivals, policy, options, seed),
+        None => bound::simulate(scenario, &arrivals, seed),
     }
 }
--- a/lilacpass-lab/src/error.rs
+++ b/lilacpass-lab/src/error.rs
@@ -1,37 +1,37 @@
-//! What can go wrong in a comparison.
+//! The error type of this crate.
 
 use std::{io, path::PathBuf};
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a comparison was not made.
+    /// The reason for which a comparison failed.
     #[derive(Debug)]
     pub enum Error {
-        /// A file can't be read or written.
+        /// A file could not be read or written.
         File(path: PathBuf, err: io::Error) {
             display("{}: {}", path.display(), err)
             source(err)
         }
-        /// A scenario does not parse; the message names line and field.
+        /// A scenario is invalid; the message contains the line or the field.
         Syntax(path: PathBuf, message: String) {
             display("{}: {message}", path.display())
         }
-        /// A value of a scenario makes no sense.
+        /// A setting has an invalid value.
         Value(field: String, reason: String) {
             display("{field}: {reason}")
         }
-        /// A plot can't be drawn.
+        /// A plot could not be drawn.
         Plot(message: String) {
             display("plot: {message}")
         }
     }
 }
 
-/// The result of a part of a comparison.
+/// Result with the error type of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A value of a scenario makes no sense.
+/// Returns the error for an invalid value of `field`.
 pub fn value(field: impl Into<String>, reason: impl Into<String>) -> Error {
     Error::Value(field.into(), reason.into())
 }
--- a/lilacpass-lab/src/lib.rs
+++ b/lilacpass-lab/src/lib.rs
@@ -1,8 +1,8 @@
-//! Compares policies of the leader on a model of a cell.
+//! Compares scheduling policies of the leader on a model of a cell.
 //!
-//! The code that decides is that of `lilacpass-lead`, unchanged. Around it stand models of workers, the
-//! advice service, the store and callers, under made-up time: a minute of a cell takes seconds, and the
-//! same seed gives the same play. What the model leaves out is said in [`cell`].
+//! The decisions are made by the unchanged code of `lilacpass-lead`. The workers, the advice service, the store and the
+//! callers are models with simulated time: a minute of a cell takes seconds, and the same seed gives the same result.
+//! The limits of the model are listed in [`cell`].
 
 pub mod arrivals;
 pub mod bound;
--- a/lilacpass-lab/src/main.rs
+++ b/lilacpass-lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The tool that compares policies.
+//! The program `lilacpass-lab`, which compares scheduling policies of the leader.
 
 use std::process::ExitCode;
 
--- a/lilacpass-lab/src/model_worker.rs
+++ b/lilacpass-lab/src/model_worker.rs
@@ -1,4 +1,4 @@
-//! A model of a worker: runs what it is told to, lists ends, saves progress.
+//! A model of a worker: carries out orders, saves checkpoints and reports runs and their ends.
 
 use std::collections::BTreeMap;
 
@@ -8,171 +8,176 @@
     CallError, PollResponse, Refusal, Registration, ReportedEnd, ReportedRun,
 };
 
-/// How long a stop takes.
+/// Time between a stop order and the end of the run.
 const STOP_MS: u64 = 100;
 
-/// A run.
+/// A run on a model worker.
 #[derive(Clone, Debug)]
-pub struct Running {
-    /// Its number.
+pub struct ModelRun {
+    /// Number of the run.
     pub run: u32,
-    /// What it takes.
+    /// Resources that the run takes.
     pub need: Resources,
-    /// When it started.
-    pub began_ms: u64,
-    /// When it ends.
+    /// Time at which the run started, in simulated milliseconds.
+    pub started_ms: u64,
+    /// Time at which the run ends, in simulated milliseconds.
     pub ends_ms: u64,
-    /// How it ends.
-    pub how: EndReason,
-    /// Work that was done before it started, in milliseconds.
+    /// The reason for which the run ends.
+    pub reason: EndReason,
+    /// Work that earlier runs had done and saved, in milliseconds.
     pub saved_ms: u64,
-    /// It takes so many times as long as on a sound worker.
+    /// Factor by which the run takes longer than on a healthy worker.
     pub slowness: f64,
-    /// It saves its progress.
-    pub saves: bool,
+    /// Whether the run saves checkpoints.
+    pub saves_progress: bool,
 }
 
-impl Running {
-    /// Work that is done by now, in milliseconds.
-    fn done_ms(&self, now_ms: u64) -> u64 {
-        let ran_ms = now_ms.min(self.ends_ms).saturating_sub(self.began_ms);
+impl ModelRun {
+    /// Returns the work that is done at `now_ms`, in milliseconds.
+    fn progress_ms(&self, now_ms: u64) -> u64 {
+        let ran_ms = now_ms.min(self.ends_ms).saturating_sub(self.started_ms);
         self.saved_ms + (ran_ms as f64 / self.slowness) as u64
     }
 
-    /// The progress as a checkpoint; empty where none is saved.
+    /// Returns the progress as a checkpoint, or an empty text if the run saves none.
     fn checkpoint(&self, now_ms: u64) -> String {
-        if self.saves { self.done_ms(now_ms).to_string() } else { String::new() }
+        if self.saves_progress { self.progress_ms(now_ms).to_string() } else { String::new() }
     }
 
     fn percent(&self, now_ms: u64) -> u32 {
-        let whole_ms = self.done_ms(self.ends_ms).max(1);
-        (self.done_ms(now_ms) * 100 / whole_ms) as u32
+        let total_ms = self.progress_ms(self.ends_ms).max(1);
+        (self.progress_ms(now_ms) * 100 / total_ms) as u32
     }
 }
 
-/// A look that waits for an end.
+/// A poll that waits on the worker for the end of a run.
 #[derive(Clone, Copy, Debug)]
-pub struct WaitingLook {
-    /// When it was sent.
+pub struct WaitingPoll {
+    /// Time at which the leader sent the poll, in simulated milliseconds.
     pub sent_ms: u64,
-    /// It is answered by then.
+    /// Time at which the poll is answered even if no run has ended.
     pub until_ms: u64,
 }
 
-/// A worker. Time is that of the play; its clock shows the same.
+/// A worker. Its clock shows the simulated time.
 #[derive(Debug)]
 pub struct ModelWorker {
-    /// What it registers.
-    pub entry: Registration,
-    /// What it has when nothing shrinks it.
-    pub whole: Resources,
-    /// It has crashed and is not back.
-    pub is_away: bool,
-    /// When its room last changed.
-    pub resized_ms: u64,
-    /// Its name in its first life.
+    /// The current registration of the worker.
+    pub registration: Registration,
+    /// Capacity of the worker without faults.
+    pub full_capacity: Resources,
+    /// Whether the worker has crashed and not restarted yet.
+    pub is_down: bool,
+    /// Time at which the capacity last changed, in simulated milliseconds.
+    pub capacity_changed_ms: u64,
+    /// Name of the first incarnation of the worker.
     first_name: String,
-    /// What it runs.
-    pub runs: BTreeMap<TaskName, Running>,
-    /// A look that waits here.
-    pub waiting_look: Option<WaitingLook>,
+    /// The current runs by task.
+    pub runs: BTreeMap<TaskName, ModelRun>,
+    /// The poll that waits on the worker, if any.
+    pub waiting_poll: Option<WaitingPoll>,
+    /// End of the leases of all runs, in simulated milliseconds.
     lease_until_ms: u64,
+    /// Ends that the leader has not told the worker to forget.
     ends: Vec<ReportedEnd>,
+    /// Number of the next end.
     next_end: u64,
-    over: BTreeMap<TaskName, u32>,
+    /// For each task, the number of the last run that has ended or been stopped.
+    last_ended_run: BTreeMap<TaskName, u32>,
 }
 
 impl ModelWorker {
-    /// An idle worker.
-    pub fn new(entry: Registration) -> Self {
+    /// Creates an idle worker.
+    pub fn new(registration: Registration) -> Self {
         Self {
-            whole: entry.capacity,
-            is_away: false,
-            resized_ms: 0,
-            first_name: entry.name.to_string(),
-            entry,
+            full_capacity: registration.capacity,
+            is_down: false,
+            capacity_changed_ms: 0,
+            first_name: registration.name.to_string(),
+            registration,
             runs: BTreeMap::new(),
-            waiting_look: None,
+            waiting_poll: None,
             lease_until_ms: 0,
             ends: Vec::new(),
             next_end: 1,
-            over: BTreeMap::new(),
+            last_ended_run: BTreeMap::new(),
         }
     }
 
-    /// It crashes. Returns the look that waits there and gets no answer.
-    pub fn crash(&mut self) -> Option<WaitingLook> {
-        self.is_away = true;
+    /// Crashes the worker. Returns the poll that waited on it and now gets no response.
+    pub fn crash(&mut self) -> Option<WaitingPoll> {
+        self.is_down = true;
         self.runs.clear();
         self.ends.clear();
-        self.waiting_look.take()
+        self.waiting_poll.take()
     }
 
-    /// It is back, as another: nothing runs there, and it knows of nothing.
-    pub fn comes_back(&mut self, life: u64) {
+    /// Restarts the worker as a new incarnation, without any runs or ends.
+    pub fn restart(&mut self, life: u64) {
         let name = format!("{}-life-{life}", self.first_name);
-        let entry = Registration { name: WorkerName::from(name.as_str()), ..self.entry.clone() };
-        let (whole, resized_ms) = (self.whole, self.resized_ms);
+        let registration =
+            Registration { name: WorkerName::from(name.as_str()), ..self.registration.clone() };
+        let (full_capacity, capacity_changed_ms) = (self.full_capacity, self.capacity_changed_ms);
         let first_name = self.first_name.clone();
-        *self = Self { whole, resized_ms, first_name, ..Self::new(entry) };
+        *self = Self { full_capacity, capacity_changed_ms, first_name, ..Self::new(registration) };
     }
 
-    /// Its name.
+    /// Returns the name of the current incarnation.
     pub fn name(&self) -> &WorkerName {
-        &self.entry.name
+        &self.registration.name
     }
 
-    /// What its runs take.
+    /// Returns the resources that the current runs take.
     pub fn used(&self) -> Resources {
         self.runs.values().fold(Resources::ZERO, |sum, run| sum.plus(&run.need))
     }
 
-    /// When something happens here next without anybody's doing.
+    /// Returns the time at which the next run ends or the leases expire, or `None` if there are no runs.
     pub fn next_ms(&self) -> Option<u64> {
         let end_ms = self.runs.values().map(|run| run.ends_ms).min()?;
         Some(end_ms.min(self.lease_until_ms))
     }
 
-    /// Lets time pass. Returns the ends that are new.
+    /// Ends the runs that are due at `now_ms`. Returns the new ends.
     pub fn advance(&mut self, now_ms: u64) -> Vec<ReportedEnd> {
-        let known = self.ends.len();
-        let has_lapsed = now_ms >= self.lease_until_ms;
-        let over: Vec<(TaskName, EndReason)> = self
+        let known_ends = self.ends.len();
+        let has_expired = now_ms >= self.lease_until_ms;
+        let ended: Vec<(TaskName, EndReason)> = self
             .runs
             .iter()
             .filter_map(|(task, run)| match run.ends_ms <= now_ms {
-                true => Some((*task, run.how)),
-                false => has_lapsed.then_some((*task, EndReason::Expired)),
+                true => Some((*task, run.reason)),
+                false => has_expired.then_some((*task, EndReason::Expired)),
             })
             .collect();
-        for (task, how) in over {
-            self.end(task, how, now_ms);
+        for (task, reason) in ended {
+            self.end(task, reason, now_ms);
         }
-        self.ends[known..].to_vec()
+        self.ends[known_ends..].to_vec()
     }
 
-    fn end(&mut self, task: TaskName, how: EndReason, now_ms: u64) {
+    fn end(&mut self, task: TaskName, reason: EndReason, now_ms: u64) {
         let Some(run) = self.runs.remove(&task) else { return };
-        self.over.insert(task, run.run);
-        let end = RunEnd { run: run.run, reason: how, checkpoint: run.checkpoint(now_ms) };
+        self.last_ended_run.insert(task, run.run);
+        let end = RunEnd { run: run.run, reason, checkpoint: run.checkpoint(now_ms) };
         self.ends.push(ReportedEnd { number: self.next_end, task, end });
         self.next_end += 1;
     }
 
-    /// Whether it lists ends.
-    pub fn lists_ends(&self) -> bool {
+    /// Returns whether there are ends to report.
+    pub fn has_ends(&self) -> bool {
         !self.ends.is_empty()
     }
 
-    /// A look arrives: leases are extended, ends forgotten.
-    pub fn look(&mut self, lease_until_ms: Option<u64>, forget_up_to: u64) {
+    /// Handles a poll: extends the leases and forgets the ends that the leader has recorded.
+    pub fn poll(&mut self, lease_until_ms: Option<u64>, forget_up_to: u64) {
         self.lease_until_ms = self.lease_until_ms.max(lease_until_ms.unwrap_or(0));
-        self.ends.retain(|row| row.number > forget_up_to);
+        self.ends.retain(|ended| ended.number > forget_up_to);
     }
 
-    /// What it answers to a look.
-    pub fn look_answer(&self, now_ms: u64) -> PollResponse {
-        let row = |(task, run): (&TaskName, &Running)| ReportedRun {
+    /// Returns the response to a poll.
+    pub fn poll_response(&self, now_ms: u64) -> PollResponse {
+        let reported = |(task, run): (&TaskName, &ModelRun)| ReportedRun {
             task: *task,
             run: run.run,
             checkpoint: run.checkpoint(now_ms),
@@ -181,39 +186,43 @@
         };
         PollResponse {
             clock_ms: now_ms,
-            running: self.runs.iter().map(row).collect(),
+            running: self.runs.iter().map(reported).collect(),
             ends: self.ends.clone(),
             remaining_ms: None,
         }
     }
 
-    /// An order to start arrives.
+    /// Handles a start order.
     pub fn start(
         &mut self,
         task: TaskName,
-        running: Running,
+        model_run: ModelRun,
         lease_until_ms: u64,
     ) -> Result<(), CallError> {
-        if self.over.get(&task).is_some_and(|&over| running.run <= over) {
+        if self.last_ended_run.get(&task).is_some_and(|&last_run| model_run.run <= last_run) {
             return Err(CallError::Refused(Refusal::Old));
         }
         self.lease_until_ms = self.lease_until_ms.max(lease_until_ms);
-        self.runs.entry(task).or_insert(running);
+        self.runs.entry(task).or_insert(model_run);
         Ok(())
     }
 
-    /// An order to stop arrives. Returns the work that is lost, in milliseconds.
+    /// Handles a stop order. Returns the work that is lost, in milliseconds.
     pub fn stop(&mut self, task: TaskName, run: u32, now_ms: u64) -> u64 {
         match self.runs.get_mut(&task) {
-            Some(running) if running.run <= run && running.how != EndReason::Stopped => {
-                running.ends_ms = running.ends_ms.min(now_ms + STOP_MS);
-                running.how = EndReason::Stopped;
-                if running.saves { 0 } else { now_ms.saturating_sub(running.began_ms) }
+            Some(model_run) if model_run.run <= run && model_run.reason != EndReason::Stopped => {
+                model_run.ends_ms = model_run.ends_ms.min(now_ms + STOP_MS);
+                model_run.reason = EndReason::Stopped;
+                if model_run.saves_progress {
+                    0
+                } else {
+                    now_ms.saturating_sub(model_run.started_ms)
+                }
             }
             Some(_) => 0,
             None => {
-                let over = self.over.entry(task).or_insert(run);
-                *over = (*over).max(run);
+                let last_run = self.last_ended_run.entry(task).or_insert(run);
+                *last_run = (*last_run).max(run);
                 0
             }
         }
--- a/lilacpass-lab/src/outcome.rs
+++ b/lilacpass-lab/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What came of a play.
+//! The result of a simulation.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -8,105 +8,108 @@
 
 use crate::{
     arrivals::Arrival,
-    callers::{Caller, Standing},
+    callers::{Caller, JobStatus},
     scenario::Scenario,
 };
 
-/// What came of the jobs of a class.
+/// The result for the jobs of a class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ClassOutcome {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Jobs that came.
+    /// Number of submitted jobs.
     pub asked: u32,
-    /// Completed in time.
+    /// Number of jobs completed in time.
     pub in_time: u32,
-    /// Completed late.
+    /// Number of jobs completed late.
     pub late: u32,
-    /// Accepted, and completed too late or not at all.
+    /// Number of accepted jobs that were completed too late or not at all.
     pub lost: u32,
-    /// Refused until their callers gave up.
+    /// Number of jobs that were refused until their callers gave up.
     pub refused: u32,
-    /// Part of the worth of its jobs that was earned.
+    /// Earned fraction of the total worth of the jobs, from 0 to 1.
     pub worth: f64,
-    /// Time from when a step could start until its tasks did, in milliseconds.
+    /// Median time that a task waited after its step was ready, in milliseconds.
     pub wait_p50_ms: u64,
-    /// The same.
+    /// 99th percentile of the time that a task waited after its step was ready, in milliseconds.
     pub wait_p99_ms: u64,
 }
 
-/// What came of a play.
+/// The result of a simulation.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Outcome {
-    /// The policy.
+    /// Name of the policy.
     pub policy: String,
-    /// The seed.
+    /// Seed of the simulation.
     pub seed: u64,
-    /// Part of the worth of all jobs that was earned.
+    /// Earned fraction of the total worth of all jobs, from 0 to 1.
     pub worth: f64,
-    /// By class.
+    /// Results by class, in the order of the scenario.
     pub classes: Vec<ClassOutcome>,
-    /// Share of the processors in use, a second each.
+    /// Fraction of the processors in use, sampled every second.
     pub use_by_s: Vec<f64>,
-    /// Worth that was lost, by the second in which its job came.
+    /// Lost worth, by the second in which the job was submitted.
     pub lost_by_s: Vec<f64>,
-    /// Tasks that waited for a start, a second each.
+    /// Number of waiting steps, sampled every second.
     pub waiting_by_s: Vec<u64>,
-    /// Work that was stopped and not saved, in core-seconds.
+    /// Work that was stopped without being saved, in core-seconds.
     pub thrown_away_core_s: f64,
-    /// Starts on workers that had no room for them.
+    /// Number of starts on workers that lacked the capacity.
     pub over_capacity: u32,
-    /// Workers that crashed under tasks.
+    /// Number of workers that tasks crashed.
     pub crashed_workers: u32,
-    /// Most starts of a task that crashes its workers.
+    /// Highest number of starts of a task that crashes its workers.
     pub most_crashing_starts: u32,
-    /// Times of one round of deciding on the machine of the lab.
+    /// Real time that scheduling rounds took on the machine that ran the simulation.
     pub decisions: Decisions,
 }
 
-/// Times of the rounds of a play.
+/// Real time that the scheduling rounds of a simulation took.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Decisions {
-    /// How many.
+    /// Number of rounds.
     pub rounds: u64,
-    /// In microseconds.
+    /// Median duration of a round, in microseconds.
     pub p50_us: u64,
-    /// In microseconds.
+    /// 99th percentile of the duration of a round, in microseconds.
     pub p99_us: u64,
-    /// In microseconds.
+    /// Duration of the longest round, in microseconds.
     pub most_us: u64,
 }
 
-/// Collects what is seen in a play.
+/// Collects the measurements of a simulation.
 pub struct Recorder {
+    /// Times that tasks waited after their steps were ready, by class.
     waits_ms: Vec<Histogram<u64>>,
+    /// Durations of the scheduling rounds.
     rounds_us: Histogram<u64>,
+    /// Time at which each step became ready.
     ready_ms: HashMap<StepName, u64>,
-    /// Work that was stopped and not saved, in thousandths of a core times milliseconds.
-    pub thrown_away_milli_ms: u64,
-    /// Starts on workers that had no room for them.
+    /// Work that was stopped without being saved, in thousandths of a core times milliseconds.
+    pub wasted_milli_core_ms: u64,
+    /// Number of starts on workers that lacked the capacity.
     pub over_capacity: u32,
-    /// Workers that crashed under tasks.
+    /// Number of workers that tasks crashed.
     pub crashed_workers: u32,
-    /// Most starts of a task that crashes its workers.
+    /// Highest number of starts of a task that crashes its workers.
     pub most_crashing_starts: u32,
-    /// Share of the processors in use, a second each.
+    /// Fraction of the processors in use, sampled every second.
     pub use_by_s: Vec<f64>,
-    /// Tasks that wait, a second each.
+    /// Number of waiting steps, sampled every second.
     pub waiting_by_s: Vec<u64>,
 }
 
 impl Recorder {
-    /// A recorder for so many classes.
+    /// Creates a recorder for the given number of classes.
     pub fn new(classes: usize) -> Self {
-        /// Digits that are kept of a value.
-        const DIGITS: u8 = 3;
-        let histogram = || Histogram::new(DIGITS).expect("a number of digits that is allowed");
+        /// Number of decimal digits to which the histograms are exact.
+        const SIGNIFICANT_DIGITS: u8 = 3;
+        let histogram = || Histogram::new(SIGNIFICANT_DIGITS).expect("a supported precision");
         Self {
             waits_ms: (0..classes).map(|_| histogram()).collect(),
             rounds_us: histogram(),
             ready_ms: HashMap::new(),
-            thrown_away_milli_ms: 0,
+            wasted_milli_core_ms: 0,
             over_capacity: 0,
             crashed_workers: 0,
             most_crashing_starts: 0,
@@ -115,23 +118,23 @@
         }
     }
 
-    /// A step can start from now on.
-    pub fn ready(&mut self, step: StepName, now_ms: u64) {
+    /// Records that a step is ready to start.
+    pub fn record_ready(&mut self, step: StepName, now_ms: u64) {
         self.ready_ms.entry(step).or_insert(now_ms);
     }
 
-    /// A task of a step has started for the first time.
-    pub fn started(&mut self, step: StepName, class: usize, now_ms: u64) {
+    /// Records the first start of a task.
+    pub fn record_start(&mut self, step: StepName, class: usize, now_ms: u64) {
         let since_ms = self.ready_ms.get(&step).copied().unwrap_or(now_ms);
         self.waits_ms[class].saturating_record(now_ms.saturating_sub(since_ms));
     }
 
-    /// A round of deciding has taken so long.
-    pub fn round(&mut self, took: Duration) {
-        self.rounds_us.saturating_record(took.as_micros() as u64);
+    /// Records the duration of a scheduling round.
+    pub fn record_round(&mut self, duration: Duration) {
+        self.rounds_us.saturating_record(duration.as_micros() as u64);
     }
 
-    /// What came of the play.
+    /// Returns the result of the simulation.
     pub fn finish(
         self,
         policy: String,
@@ -152,17 +155,17 @@
             })
             .collect();
         let mut lost_by_s = vec![0.0; scenario.length_s.ceil() as usize];
-        let (mut earned, mut owed) = (0.0, 0.0);
+        let (mut earned, mut total) = (0.0, 0.0);
         for (arrival, caller) in arrivals.iter().zip(callers) {
             let class = &scenario.classes[arrival.class];
-            let (got, kind) = settle(scenario, arrival, caller);
+            let (worth, counter) = score(scenario, arrival, caller);
             let outcome = &mut classes[arrival.class];
             outcome.asked += 1;
-            *kind(outcome) += 1;
-            outcome.worth += got / class.worth;
-            earned += got;
-            owed += class.worth;
-            lost_by_s[(arrival.at_ms / 1_000) as usize] += class.worth - got;
+            *counter(outcome) += 1;
+            outcome.worth += worth / class.worth;
+            earned += worth;
+            total += class.worth;
+            lost_by_s[(arrival.at_ms / 1_000) as usize] += class.worth - worth;
         }
         for class in &mut classes {
             class.worth /= f64::from(class.asked.max(1));
@@ -170,7 +173,7 @@
         Outcome {
             policy,
             seed,
-            worth: if owed > 0.0 { earned / owed } else { 1.0 },
+            worth: if total > 0.0 { earned / total } else { 1.0 },
             classes,
             use_by_s: self.use_by_s,
             lost_by_s,
@@ -178,7 +181,7 @@
             over_capacity: self.over_capacity,
             crashed_workers: self.crashed_workers,
             most_crashing_starts: self.most_crashing_starts,
-            thrown_away_core_s: self.thrown_away_milli_ms as f64 / 1e6,
+            thrown_away_core_s: self.wasted_milli_core_ms as f64 / 1e6,
             decisions: Decisions {
                 rounds: self.rounds_us.len(),
                 p50_us: self.rounds_us.value_at_quantile(0.5),
@@ -189,23 +192,23 @@
     }
 }
 
-/// What a job has earned, and which count of its class it adds to.
-fn settle(
+/// Returns the worth that a job earned, and the counter of its class that it belongs to.
+fn score(
     scenario: &Scenario,
     arrival: &Arrival,
     caller: &Caller,
 ) -> (f64, fn(&mut ClassOutcome) -> &mut u32) {
     let class = &scenario.classes[arrival.class];
-    let (in_time_ms, late_ms) = arrival.due_ms(class);
-    match caller.standing {
-        Standing::Completed { at_ms } if at_ms <= in_time_ms => {
+    let (in_time_ms, late_ms) = arrival.deadlines_ms(class);
+    match caller.status {
+        JobStatus::Completed { at_ms } if at_ms <= in_time_ms => {
             (class.worth, |outcome| &mut outcome.in_time)
         }
-        Standing::Completed { at_ms } if at_ms <= late_ms => {
+        JobStatus::Completed { at_ms } if at_ms <= late_ms => {
             (class.worth_late, |outcome| &mut outcome.late)
         }
-        Standing::Open | Standing::GivenUp => (0.0, |outcome| &mut outcome.refused),
-        Standing::Completed { .. } | Standing::Accepted | Standing::Failed => {
+        JobStatus::Open | JobStatus::GivenUp => (0.0, |outcome| &mut outcome.refused),
+        JobStatus::Completed { .. } | JobStatus::Accepted | JobStatus::Failed => {
             (0.0, |outcome| &mut outcome.lost)
         }
     }
--- a/lilacpass-lab/src/plot.rs
+++ b/lilacpass-lab/src/plot.rs
@@ -1,5 +1,5 @@
-//! Plots of a comparison over time: use of processors, waiting steps, lost worth. One line a policy, means
-//! over the seeds.
+//! Plots of a comparison over time: processor use, waiting steps and lost worth. Each policy is one line, which shows
+//! the mean over the seeds.
 
 use std::path::Path;
 
@@ -17,20 +17,26 @@
 const SIZE_PX: (u32, u32) = (900, 420);
 const MARGIN_PX: i32 = 12;
 const LABELS_PX: i32 = 48;
-/// Length of the line beside a name in the legend.
+/// Length of the sample line next to each name in the legend.
 const LEGEND_PX: i32 = 16;
 
-/// Draws the plots into a folder, which must exist.
+/// Draws the plots into an existing folder.
 pub fn draw(comparison: &Comparison, folder: &Path) -> Result<()> {
     let name = &comparison.scenario;
-    draw_one(comparison, &folder.join(format!("{name}-use.svg")), "processors in use", |play| {
-        play.use_by_s.clone()
-    })?;
-    draw_one(comparison, &folder.join(format!("{name}-waiting.svg")), "waiting steps", |play| {
-        play.waiting_by_s.iter().map(|&steps| steps as f64).collect()
-    })?;
-    draw_one(comparison, &folder.join(format!("{name}-lost.svg")), "lost worth", |play| {
-        play.lost_by_s.clone()
+    draw_one(
+        comparison,
+        &folder.join(format!("{name}-use.svg")),
+        "processors in use",
+        |outcome| outcome.use_by_s.clone(),
+    )?;
+    draw_one(
+        comparison,
+        &folder.join(format!("{name}-waiting.svg")),
+        "waiting steps",
+        |outcome| outcome.waiting_by_s.iter().map(|&steps| steps as f64).collect(),
+    )?;
+    draw_one(comparison, &folder.join(format!("{name}-lost.svg")), "lost worth", |outcome| {
+        outcome.lost_by_s.clone()
     })
 }
 
@@ -43,41 +49,46 @@
     let lines: Vec<(&str, Vec<f64>)> = comparison
         .by_policy()
         .into_iter()
-        .map(|(policy, plays)| (policy, mean_by_s(&plays, &values)))
+        .map(|(policy, outcomes)| (policy, mean_by_s(&outcomes, &values)))
         .filter(|(_, line)| !line.is_empty())
         .collect();
-    let longest_s = lines.iter().map(|(_, line)| line.len()).max().unwrap_or(1);
-    let most = lines.iter().flat_map(|(_, line)| line).copied().fold(0.0, f64::max).max(1e-9);
-    let failed = |err: &dyn std::fmt::Display| Error::Plot(err.to_string());
+    let max_length_s = lines.iter().map(|(_, line)| line.len()).max().unwrap_or(1);
+    let max_value = lines.iter().flat_map(|(_, line)| line).copied().fold(0.0, f64::max).max(1e-9);
+    let plot_error = |err: &dyn std::fmt::Display| Error::Plot(err.to_string());
     let area = SVGBackend::new(path, SIZE_PX).into_drawing_area();
-    area.fill(&WHITE).map_err(|err| failed(&err))?;
+    area.fill(&WHITE).map_err(|err| plot_error(&err))?;
     let mut chart = ChartBuilder::on(&area)
         .margin(MARGIN_PX)
         .x_label_area_size(LABELS_PX)
         .y_label_area_size(LABELS_PX)
-        .build_cartesian_2d(0..longest_s, 0.0..most * 1.05)
-        .map_err(|err| failed(&err))?;
-    chart.configure_mesh().x_desc("seconds").y_desc(caption).draw().map_err(|err| failed(&err))?;
+        .build_cartesian_2d(0..max_length_s, 0.0..max_value * 1.05)
+        .map_err(|err| plot_error(&err))?;
+    chart
+        .configure_mesh()
+        .x_desc("seconds")
+        .y_desc(caption)
+        .draw()
+        .map_err(|err| plot_error(&err))?;
     for (number, (policy, line)) in lines.into_iter().enumerate() {
-        let color = Palette99::pick(number).to_rgba();
+        let colour = Palette99::pick(number).to_rgba();
         chart
-            .draw_series(LineSeries::new(line.into_iter().enumerate(), &color))
-            .map_err(|err| failed(&err))?
+            .draw_series(LineSeries::new(line.into_iter().enumerate(), &colour))
+            .map_err(|err| plot_error(&err))?
             .label(policy)
-            .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_PX, y)], color));
+            .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_PX, y)], colour));
     }
     chart
         .configure_series_labels()
         .background_style(WHITE.mix(0.8))
         .border_style(BLACK)
         .draw()
-        .map_err(|err| failed(&err))?;
-    area.present().map_err(|err| failed(&err))
+        .map_err(|err| plot_error(&err))?;
+    area.present().map_err(|err| plot_error(&err))
 }
 
-fn mean_by_s(plays: &[&Outcome], values: impl Fn(&Outcome) -> Vec<f64>) -> Vec<f64> {
-    let lines: Vec<Vec<f64>> = plays.iter().map(|play| values(play)).collect();
-    let shortest = lines.iter().map(Vec::len).min().unwrap_or(0);
+fn mean_by_s(outcomes: &[&Outcome], values: impl Fn(&Outcome) -> Vec<f64>) -> Vec<f64> {
+    let lines: Vec<Vec<f64>> = outcomes.iter().map(|outcome| values(outcome)).collect();
+    let min_length = lines.iter().map(Vec::len).min().unwrap_or(0);
     let mean = |s: usize| lines.iter().map(|line| line[s]).sum::<f64>() / lines.len() as f64;
-    (0..shortest).map(mean).collect()
+    (0..min_length).map(mean).collect()
 }
--- a/lilacpass-lab/src/policy.rs
+++ b/lilacpass-lab/src/policy.rs
@@ -1,5 +1,5 @@
-//! The policies that are compared: today's, others for choosing workers, and today's with one mechanism
-//! switched off.
+//! The compared policies: the current one of the leader, the current one with another choice of workers or without one
+//! mechanism, and the upper bound.
 
 use std::{fmt, str::FromStr};
 
@@ -10,28 +10,28 @@
 
 use crate::error::{self, Error};
 
-/// Name of today's policy.
+/// Name of the current policy.
 const TODAY: &str = "today";
-/// Comes before the name of a mechanism that is switched off.
+/// Prefix of the name of a mechanism that is switched off.
 const WITHOUT: &str = "without-";
-/// Name of the bound that knows everything.
+/// Name of the upper bound.
 const BOUND: &str = "bound";
 
-/// A policy.
+/// A scheduling policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// What the leader does.
+    /// The current policy of the leader, with its default options.
     Today,
-    /// The same, but for how a worker is chosen.
+    /// The current policy with another choice of workers.
     Placed(Placement),
-    /// The same without a mechanism.
+    /// The current policy without one mechanism.
     Without(Mechanism),
-    /// One large worker for each service that knows all jobs' work; see [`crate::bound`].
+    /// The upper bound for all policies; see [`crate::bound`].
     Bound,
 }
 
 impl Policy {
-    /// All policies.
+    /// Returns all policies.
     pub fn all() -> Vec<Self> {
         let placements = Placement::ALL.into_iter().filter(|p| *p != Placement::default());
         let mechanisms = Mechanism::ALL.into_iter().map(Self::Without);
@@ -42,14 +42,14 @@
             .collect()
     }
 
-    /// The leader's options; none for the bound, which has no leader.
+    /// Returns the options of the leader, or `None` for the bound, which has no leader.
     pub fn options(self) -> Option<Options> {
-        let today = Options::default();
+        let default = Options::default();
         match self {
             Self::Bound => None,
-            Self::Today => Some(today),
-            Self::Placed(placement) => Some(Options { placement, ..today }),
-            Self::Without(mechanism) => Some(Options { switched_off: Some(mechanism), ..today }),
+            Self::Today => Some(default),
+            Self::Placed(placement) => Some(Options { placement, ..default }),
+            Self::Without(mechanism) => Some(Options { switched_off: Some(mechanism), ..default }),
         }
     }
 }
@@ -72,7 +72,7 @@
         let known = Self::all().into_iter().find(|policy| policy.to_string() == s);
         known.ok_or_else(|| {
             let names: Vec<String> = Self::all().iter().map(Self::to_string).collect();
-            error::value("policy", format!("{s:?} is none of {}", names.join(", ")))
+            error::value("policy", format!("{s:?} is not one of {}", names.join(", ")))
         })
     }
 }
--- a/lilacpass-lab/src/scenario.rs
+++ b/lilacpass-lab/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What is played: the cell, the jobs that come, and what goes wrong. Read from TOML.
+//! The scenario of a simulation: the cell, the submitted jobs and the faults. Read from a TOML file.
 
 use std::{fs, path::Path};
 
@@ -6,30 +6,30 @@
 
 use crate::error::{self, Error, Result};
 
-/// A scenario. Times count from the first job.
+/// A scenario. All times are relative to its start.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Name in reports.
+    /// Name of the scenario in reports.
     pub name: String,
-    /// How long jobs come, in seconds.
+    /// Duration for which jobs are submitted, in seconds.
     pub length_s: f64,
-    /// How long the rest may take to end, in seconds.
+    /// Additional duration in which the remaining jobs can end, in seconds.
     #[serde(default = "default_rest_s")]
     pub rest_s: f64,
-    /// Workers, alike within each pool.
+    /// Pools of identical workers.
     #[serde(rename = "pool")]
     pub pools: Vec<Pool>,
-    /// Kinds of jobs.
+    /// Classes of jobs.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
-    /// The store.
+    /// The model of the store.
     #[serde(default)]
     pub store: Store,
-    /// The advice service.
+    /// The model of the advice service.
     #[serde(default)]
     pub advice: Advice,
-    /// What goes wrong.
+    /// Faults that occur during the scenario.
     #[serde(rename = "fault", default)]
     pub faults: Vec<Fault>,
 }
@@ -38,25 +38,25 @@
     15.0
 }
 
-/// Workers of one service.
+/// A pool of identical workers of one service.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// The service.
+    /// The service that the workers offer.
     pub service: String,
-    /// How many.
+    /// Number of workers.
     pub workers: usize,
-    /// Processors of each.
+    /// Number of processor cores of each worker.
     pub cores: u64,
-    /// Memory of each, in MB.
+    /// Memory of each worker, in MB.
     pub memory_mb: u64,
-    /// Accelerators of each.
+    /// Number of accelerators of each worker.
     #[serde(default)]
     pub accelerators: u64,
-    /// Workers in a rack.
+    /// Number of workers per rack.
     #[serde(default = "default_rack")]
     pub rack_workers: usize,
-    /// Data centres that the racks are dealt out to.
+    /// Number of data centres over which the racks are distributed in turn.
     #[serde(default = "default_data_centres")]
     pub data_centres: usize,
 }
@@ -69,57 +69,59 @@
     3
 }
 
-/// A kind of job.
+/// A class of similar jobs.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Name in reports, and of the queue.
+    /// Name of the class in reports, and of its queue.
     pub name: String,
-    /// The service whose workers run it.
+    /// The service whose workers run the jobs.
     pub service: String,
-    /// 0 comes first.
+    /// Priority of the jobs; 0 is the most urgent.
     pub priority: u32,
-    /// Jobs a second.
+    /// Mean number of submitted jobs per second.
     pub rate: f64,
-    /// Steps, each after the one before.
+    /// Number of steps; each step depends on the previous one.
     #[serde(default = "default_one")]
     pub steps: u32,
-    /// Tasks of a step.
+    /// Number of tasks of each step.
     pub tasks: u32,
-    /// Thousandths of a core that a task takes.
+    /// Processor time that a task needs, in thousandths of a core.
     pub cpu_milli: u32,
-    /// Memory that a task takes, in MB.
+    /// Memory that a task needs, in MB.
     #[serde(default = "default_memory_mb")]
     pub memory_mb: u32,
-    /// Accelerators that a task takes.
+    /// Number of accelerators that a task needs.
     #[serde(default)]
     pub accelerators: u32,
-    /// Work of a task on a sound worker, in milliseconds. Drawn from 0.7 to 1.3 times of it.
+    /// Mean work of a task in milliseconds on a healthy worker. The work of each task is drawn from 0.7 to 1.3 times
+    /// this value.
     pub work_ms: u32,
-    /// What callers say that a task takes, as a multiple of its work.
+    /// The callers' estimate of the run time of a task, as a multiple of `work_ms`.
     #[serde(default = "default_estimate_x")]
     pub estimate_x: f64,
-    /// The tasks of a step work only together.
+    /// Whether the tasks of a step form a gang.
     #[serde(default)]
     pub gang: bool,
-    /// The tasks save their progress.
+    /// Whether the tasks save checkpoints.
     #[serde(default)]
     pub checkpointing: bool,
-    /// Starts need advice.
+    /// Whether the tasks need advice to start.
     #[serde(default)]
     pub advised: bool,
-    /// Failed runs of a task after which its job has failed.
+    /// Number of failed runs of a task after which its job fails.
     #[serde(default = "default_attempts")]
     pub attempts: u32,
-    /// A job is in time within so many times its work and `objective_ms`, late up to three times that.
+    /// A job is in time if it ends within `stretch` times its work plus `objective_ms`, and late within three times
+    /// that duration.
     #[serde(default = "default_stretch")]
     pub stretch: f64,
-    /// See `stretch`.
+    /// Constant part of the objective, in milliseconds; see `stretch`.
     pub objective_ms: u32,
-    /// What a job in time is worth.
+    /// The worth of a job that ends in time.
     #[serde(default = "default_worth")]
     pub worth: f64,
-    /// What a late one is worth.
+    /// The worth of a job that ends late.
     #[serde(default)]
     pub worth_late: f64,
 }
@@ -148,99 +150,99 @@
     1.0
 }
 
-/// The store.
+/// The model of the store.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Store {
-    /// An append, in milliseconds.
+    /// Duration of an append, in milliseconds.
     pub append_ms: u64,
 }
 
 impl Default for Store {
-    /// An append of today's platform.
+    /// The duration of an append on the current platform.
     fn default() -> Self {
         Self { append_ms: 8 }
     }
 }
 
-/// The advice service.
+/// The model of the advice service.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Advice {
-    /// Instances that can call it; each has one call answered at a time.
+    /// Number of instances that can call the service. Each has one call at a time.
     pub lanes: usize,
-    /// A call, in milliseconds.
+    /// Fixed duration of a call, in milliseconds.
     pub base_ms: f64,
-    /// Each worker that it names, in milliseconds.
+    /// Additional duration for each named worker, in milliseconds.
     pub per_worker_ms: f64,
-    /// How long an answer is valid, in milliseconds.
+    /// How long advice is valid, in milliseconds.
     pub valid_ms: u32,
-    /// Share of workers that may run a step, in percent.
+    /// Percentage of the workers that may run a step.
     pub allowed_percent: u64,
 }
 
 impl Default for Advice {
-    /// As it was seen on today's platform.
+    /// The behaviour of the advice service on the current platform.
     fn default() -> Self {
         Self { lanes: 7, base_ms: 20.0, per_worker_ms: 2.0, valid_ms: 2_500, allowed_percent: 70 }
     }
 }
 
-/// What goes wrong, from `at_s` on for `for_s` seconds.
+/// A fault that starts at `at_s` and lasts for `for_s` seconds.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// Seconds from the first job.
+    /// Start of the fault, in seconds since the start of the scenario.
     pub at_s: f64,
-    /// How long, in seconds.
+    /// Duration of the fault, in seconds.
     pub for_s: f64,
-    /// What.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// How strong; see the kinds.
+    /// Strength of the fault; its meaning depends on the kind.
     #[serde(default)]
     pub x: f64,
-    /// Share of the workers of all pools, from 0 to 1; see the kinds.
+    /// Fraction of the affected workers or jobs, from 0 to 1; its meaning depends on the kind.
     #[serde(default)]
     pub share: f64,
 }
 
-/// Kinds of faults.
+/// The kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// `x` times as many jobs come.
+    /// The rate of submitted jobs is `x` times as high.
     Burst,
-    /// The store refuses everything.
+    /// The store refuses all appends.
     StoreDown,
     /// An append takes `x` times as long.
     StoreSlow,
-    /// Tasks that start on `share` of the workers take `x` times as long.
+    /// Tasks that start on a fraction `share` of the workers take `x` times as long.
     SlowWorkers,
-    /// On `share` of the workers, part `x` of the tasks that start there fails.
+    /// On a fraction `share` of the workers, a fraction `x` of the started tasks fails.
     FailingWorkers,
-    /// The advice service does not answer.
+    /// The advice service does not respond.
     AdviceSilent,
-    /// The first task of `share` of the jobs that come crashes each worker that starts it.
+    /// The first task of a fraction `share` of the submitted jobs crashes each worker that starts it.
     CrashingTasks,
-    /// `share` of the workers have part `x` of their room.
+    /// A fraction `share` of the workers has only a fraction `x` of its capacity.
     ShrinkingWorkers,
 }
 
 impl Fault {
-    /// Whether it acts at a time, in milliseconds from the first job.
-    pub fn acts_at(&self, at_ms: u64) -> bool {
+    /// Returns whether the fault is active at a time, in milliseconds since the start of the scenario.
+    pub fn is_active_at(&self, at_ms: u64) -> bool {
         let at_s = at_ms as f64 / 1_000.0;
         (self.at_s..self.at_s + self.for_s).contains(&at_s)
     }
 }
 
-/// Reads a scenario from a file, and checks it.
+/// Reads and validates a scenario from a file.
 pub fn read(path: &Path) -> Result<Scenario> {
     let text = fs::read_to_string(path).map_err(|err| Error::File(path.to_owned(), err))?;
     parse(&text).map_err(|err| Error::Syntax(path.to_owned(), err.to_string()))
 }
 
-/// Reads a scenario from text, and checks it.
+/// Parses and validates a scenario.
 pub fn parse(text: &str) -> Result<Scenario> {
     let scenario: Scenario =
         toml::from_str(text).map_err(|err| error::value("scenario", err.to_string()))?;
@@ -249,14 +251,17 @@
 }
 
 fn check(scenario: &Scenario) -> Result<()> {
-    /// Longest play, in seconds: an hour of made-up time.
-    const LONGEST_S: f64 = 3_600.0;
-    positive("length_s", scenario.length_s)?;
-    if scenario.length_s + scenario.rest_s > LONGEST_S || scenario.rest_s < 0.0 {
-        return Err(error::value("rest_s", "must be 0 or more, and the whole an hour at most"));
+    /// Maximum simulated time, in seconds.
+    const MAX_DURATION_S: f64 = 3_600.0;
+    check_positive("length_s", scenario.length_s)?;
+    if scenario.length_s + scenario.rest_s > MAX_DURATION_S || scenario.rest_s < 0.0 {
+        return Err(error::value(
+            "rest_s",
+            "must not be negative, and length_s plus rest_s must be at most an hour",
+        ));
     }
     if scenario.pools.is_empty() {
-        return Err(error::value("pool", "there must be one at least"));
+        return Err(error::value("pool", "must have at least one entry"));
     }
     for (number, pool) in scenario.pools.iter().enumerate() {
         let field = |name: &str| format!("pool[{number}].{name}");
@@ -283,8 +288,8 @@
 
 fn check_class(scenario: &Scenario, number: usize, class: &Class) -> Result<()> {
     let field = |name: &str| format!("class[{number}].{name}");
-    positive(&field("rate"), class.rate)?;
-    positive(&field("estimate_x"), class.estimate_x)?;
+    check_positive(&field("rate"), class.rate)?;
+    check_positive(&field("estimate_x"), class.estimate_x)?;
     for (name, value) in
         [("steps", class.steps), ("tasks", class.tasks), ("work_ms", class.work_ms)]
     {
@@ -299,42 +304,45 @@
             && u64::from(class.accelerators) <= pool.accelerators
     };
     if !scenario.pools.iter().any(|pool| fits(&pool)) {
-        return Err(error::value(field("service"), "no pool of it has workers large enough"));
+        return Err(error::value(
+            field("service"),
+            "no pool of this service has workers large enough for a task",
+        ));
     }
     Ok(())
 }
 
 fn check_fault(number: usize, fault: &Fault) -> Result<()> {
     let field = |name: &str| format!("fault[{number}].{name}");
-    positive(&field("for_s"), fault.for_s)?;
-    let takes_x = !matches!(
+    check_positive(&field("for_s"), fault.for_s)?;
+    let needs_x = !matches!(
         fault.kind,
         FaultKind::StoreDown | FaultKind::AdviceSilent | FaultKind::CrashingTasks
     );
-    if takes_x {
-        positive(&field("x"), fault.x)?;
+    if needs_x {
+        check_positive(&field("x"), fault.x)?;
     }
     if matches!(fault.kind, FaultKind::FailingWorkers | FaultKind::ShrinkingWorkers) {
-        check_share(&field("x"), fault.x)?;
+        check_fraction(&field("x"), fault.x)?;
     }
-    let takes_share = matches!(
+    let needs_share = matches!(
         fault.kind,
         FaultKind::SlowWorkers
             | FaultKind::FailingWorkers
             | FaultKind::CrashingTasks
             | FaultKind::ShrinkingWorkers
     );
-    if takes_share {
-        positive(&field("share"), fault.share)?;
+    if needs_share {
+        check_positive(&field("share"), fault.share)?;
     }
-    check_share(&field("share"), fault.share)
+    check_fraction(&field("share"), fault.share)
 }
 
-fn positive(field: &str, value: f64) -> Result<()> {
+fn check_positive(field: &str, value: f64) -> Result<()> {
     if value > 0.0 { Ok(()) } else { Err(error::value(field, "must be above 0")) }
 }
 
-fn check_share(field: &str, share: f64) -> Result<()> {
-    let is_share = (0.0..=1.0).contains(&share);
-    if is_share { Ok(()) } else { Err(error::value(field, "must be from 0 to 1")) }
+fn check_fraction(field: &str, value: f64) -> Result<()> {
+    let is_fraction = (0.0..=1.0).contains(&value);
+    if is_fraction { Ok(()) } else { Err(error::value(field, "must be from 0 to 1")) }
 }
--- a/lilacpass-lab/src/worker_faults.rs
+++ b/lilacpass-lab/src/worker_faults.rs
@@ -1,113 +1,121 @@
-//! Workers that crash under a task and come back, and workers whose room shrinks and grows.
+//! Faults of workers: workers that crash because of a task and restart, and workers whose capacity changes.
 
 use lilacpass_core::{Resources, Verdict};
 use lilacpass_jobs::{TaskName, WorkerName};
 use lilacpass_lead::{Event, event::CallError};
 
 use crate::{
-    cell::{Action, Cell, HOP_MS},
+    cell::{Action, ONE_WAY_DELAY_MS, Simulation},
     scenario::FaultKind,
-    workers::{self, Conditions},
+    workers::{self, WorkerConditions},
 };
 
-/// How soon after its start a task crashes its worker.
-const CRASHES_AFTER_MS: u64 = 10;
-/// How long a worker that crashed is away.
-const AWAY_MS: u64 = 3_500;
-/// A room that has shrunk counts after so long.
-const SHRINKS_AFTER_MS: u64 = 1_000;
-/// How long the call of a leader takes that gets no answer.
-const CALL_TIMEOUT_MS: u64 = 400;
+/// Time between the start of a crashing task and the crash of its worker.
+const CRASH_DELAY_MS: u64 = 10;
+/// Time between the crash of a worker and its restart.
+const DOWNTIME_MS: u64 = 3_500;
+/// Time after a change of its capacity during which a worker may be overcommitted, because the leader may not know of
+/// the change yet.
+const CAPACITY_GRACE_MS: u64 = 1_000;
+/// Timeout of an order of the leader to a worker that does not answer.
+const ORDER_TIMEOUT_MS: u64 = 400;
 
-impl Cell<'_> {
-    /// Whether a task crashes each worker that starts it: the first of a job that came while the fault acted.
-    pub(crate) fn crashes_workers(&self, job: usize, task: TaskName) -> bool {
+impl Simulation<'_> {
+    /// Returns whether a task crashes each worker that starts it. This is the first task of some of the jobs that are
+    /// submitted during the fault.
+    pub(crate) fn is_crashing_task(&self, job: usize, task: TaskName) -> bool {
         let arrival = &self.arrivals[job];
         let is_first = task.step.step == 0 && task.index == 0;
         is_first
             && self.scenario.faults.iter().enumerate().any(|(number, fault)| {
                 fault.kind == FaultKind::CrashingTasks
-                    && fault.acts_at(arrival.at_ms)
-                    && workers::drawn(&(self.seed, number, arrival.key.0)) < fault.share
+                    && fault.is_active_at(arrival.at_ms)
+                    && workers::pseudo_random(&(self.seed, number, arrival.key.0)) < fault.share
             })
     }
 
-    /// A task has started: its worker will crash if it is one that does that.
-    pub(crate) fn may_crash(&mut self, at: usize, job: usize, task: TaskName) {
-        if !self.crashes_workers(job, task) {
+    /// Schedules a crash of the worker on which a task has started, if the task is a crashing one.
+    pub(crate) fn schedule_crash(&mut self, index: usize, job: usize, task: TaskName) {
+        if !self.is_crashing_task(job, task) {
             return;
         }
-        *self.starts_of_crashing.entry(task).or_default() += 1;
-        let worker = self.workers[at].name().clone();
-        self.plan(self.now_ms + CRASHES_AFTER_MS, Action::Crash { at, worker });
+        *self.crashing_task_starts.entry(task).or_default() += 1;
+        let worker = self.workers[index].name().clone();
+        self.schedule(self.now_ms + CRASH_DELAY_MS, Action::Crash { index, worker });
     }
 
-    /// A task is about to start: counts it if its worker has no room for it, and had time to say so.
-    pub(crate) fn judge_room(&mut self, at: usize, need: &Resources) {
-        let worker = &self.workers[at];
-        let is_known = self.now_ms >= worker.resized_ms + SHRINKS_AFTER_MS;
-        if is_known && !worker.used().plus(need).fits(&worker.entry.capacity) {
+    /// Counts a start for which the worker lacks the capacity, unless its capacity has only just changed.
+    pub(crate) fn check_capacity(&mut self, index: usize, need: &Resources) {
+        let worker = &self.workers[index];
+        let is_settled = self.now_ms >= worker.capacity_changed_ms + CAPACITY_GRACE_MS;
+        if is_settled && !worker.used().plus(need).fits(&worker.registration.capacity) {
             self.recorder.over_capacity += 1;
         }
     }
 
-    /// A worker crashes, if it lives.
-    pub(crate) fn crash(&mut self, at: usize, worker: &WorkerName) {
-        if self.workers[at].is_away || self.workers[at].name() != worker {
+    /// Crashes a worker, if this incarnation is still running.
+    pub(crate) fn crash(&mut self, index: usize, worker: &WorkerName) {
+        if self.workers[index].is_down || self.workers[index].name() != worker {
             return;
         }
         self.recorder.crashed_workers += 1;
-        if let Some(look) = self.workers[at].crash() {
-            self.unanswered_look(worker, look.sent_ms, false);
+        if let Some(poll) = self.workers[index].crash() {
+            self.fail_poll(worker, poll.sent_ms, false);
         }
-        self.plan(self.now_ms + AWAY_MS, Action::Return(at));
+        self.schedule(self.now_ms + DOWNTIME_MS, Action::Restart(index));
     }
 
-    /// A worker that crashed is back as another.
-    pub(crate) fn comes_back(&mut self, at: usize) {
-        self.lives += 1;
-        let former = self.workers[at].name().clone();
-        self.by_name.remove(&former);
-        self.workers[at].comes_back(self.lives);
-        self.by_name.insert(self.workers[at].name().clone(), at);
-        let entry = self.workers[at].entry.clone();
+    /// Restarts a crashed worker as a new incarnation.
+    pub(crate) fn restart(&mut self, index: usize) {
+        self.incarnations += 1;
+        let former = self.workers[index].name().clone();
+        self.worker_indices.remove(&former);
+        self.workers[index].restart(self.incarnations);
+        self.worker_indices.insert(self.workers[index].name().clone(), index);
+        let registration = self.workers[index].registration.clone();
         self.leader.handle(Event::WorkerUnregistered(former), self.now());
-        self.leader.handle(Event::WorkerRegistered(entry), self.now());
+        self.leader.handle(Event::WorkerRegistered(registration), self.now());
     }
 
-    /// A look at a worker that crashed gets no answer.
-    pub(crate) fn unanswered_look(&mut self, worker: &WorkerName, sent_ms: u64, extra: bool) {
+    /// Lets the poll of a crashed worker time out.
+    pub(crate) fn fail_poll(&mut self, worker: &WorkerName, sent_ms: u64, extra: bool) {
         let result = Err(CallError::Failed(Verdict::MayHaveRun));
         let event = Event::Polled { worker: worker.clone(), sent_ms, extra, result };
-        self.plan(self.now_ms + CALL_TIMEOUT_MS, Action::Tell(event));
+        self.schedule(self.now_ms + ORDER_TIMEOUT_MS, Action::Deliver(event));
     }
 
-    /// A look at a former life of a worker is answered by the one that came after.
-    pub(crate) fn look_at_former_life(&mut self, worker: &WorkerName, extra: bool) {
+    /// Answers the poll of a former incarnation of a worker: the current incarnation refuses it.
+    pub(crate) fn answer_for_former_incarnation(&mut self, worker: &WorkerName, extra: bool) {
         let sent_ms = self.now_ms;
         let result = Err(CallError::OtherLife);
         let event = Event::Polled { worker: worker.clone(), sent_ms, extra, result };
-        self.plan(self.now_ms + HOP_MS, Action::Tell(event));
+        self.schedule(self.now_ms + ONE_WAY_DELAY_MS, Action::Deliver(event));
     }
 
-    /// Workers have the room that the faults leave them, and say so.
+    /// Applies the faults to the capacities of the workers, and registers the workers whose capacity changed.
     pub(crate) fn set_capacities(&mut self) {
-        let (seed, at_ms, now) = (self.seed, self.play_ms(), self.now());
-        for at in 0..self.workers.len() {
-            let conditions = Conditions { scenario: self.scenario, seed, worker: at, at_ms };
-            let part = conditions.strength(FaultKind::ShrinkingWorkers).unwrap_or(1.0);
-            let worker = &mut self.workers[at];
-            let capacity = part_of(worker.whole, part);
-            if worker.entry.capacity != capacity {
-                worker.resized_ms = now.steady_ms;
-                worker.entry.capacity = capacity;
-                self.leader.handle(Event::WorkerRegistered(worker.entry.clone()), now);
+        let (seed, at_ms, now) = (self.seed, self.scenario_ms(), self.now());
+        for index in 0..self.workers.len() {
+            let conditions =
+                WorkerConditions { scenario: self.scenario, seed, worker: index, at_ms };
+            let factor = conditions.strength(FaultKind::ShrinkingWorkers).unwrap_or(1.0);
+            let worker = &mut self.workers[index];
+            let capacity = scaled(worker.full_capacity, factor);
+            if worker.registration.capacity != capacity {
+                worker.capacity_changed_ms = now.steady_ms;
+                worker.registration.capacity = capacity;
+                self.leader.handle(Event::WorkerRegistered(worker.registration.clone()), now);
             }
         }
     }
 }
 
-fn part_of(whole: Resources, part: f64) -> Resources {
-    let scale = |amount: u64| (amount as f64 * part) as u64;
-    Resources::new(scale(whole.cpu.0), scale(whole.memory.0), scale(whole.accelerators.0), 0)
+fn scaled(full_capacity: Resources, factor: f64) -> Resources {
+    let scale = |amount: u64| (amount as f64 * factor) as u64;
+    Resources::new(
+        scale(full_capacity.cpu.0),
+        scale(full_capacity.memory.0),
+        scale(full_capacity.accelerators.0),
+        0,
+    )
 }
--- a/lilacpass-lab/src/workers.rs
+++ b/lilacpass-lab/src/workers.rs
@@ -1,4 +1,4 @@
-//! The workers of a play: how they register, and which of them are slow or fail.
+//! The workers of a simulation: their registrations and their faults.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -8,41 +8,42 @@
 
 use crate::scenario::{FaultKind, Pool, Scenario};
 
-/// What is wrong with a worker at a time.
+/// Identifies a worker and a time, to query the faults of the worker at that time.
 #[derive(Clone, Copy, Debug)]
-pub struct Conditions<'a> {
-    /// What is played.
+pub struct WorkerConditions<'a> {
+    /// The simulated scenario.
     pub scenario: &'a Scenario,
-    /// The seed of the play.
+    /// The seed of the simulation.
     pub seed: u64,
-    /// Number of the worker.
+    /// Index of the worker.
     pub worker: usize,
-    /// Milliseconds from the first job.
+    /// Time in milliseconds since the start of the scenario.
     pub at_ms: u64,
 }
 
-impl Conditions<'_> {
-    /// How strong a fault is here; none where it does not act. The same workers have it as long as it lasts.
+impl WorkerConditions<'_> {
+    /// Returns the strength of a fault on this worker, or `None` if the worker is not affected. A fault affects the same
+    /// workers as long as it lasts.
     pub fn strength(&self, kind: FaultKind) -> Option<f64> {
         let mut faults = self.scenario.faults.iter().enumerate();
         faults.find_map(|(number, fault)| {
-            let is_hit = drawn(&(self.seed, number, self.worker)) < fault.share;
-            let acts = fault.kind == kind && fault.acts_at(self.at_ms) && is_hit;
-            acts.then_some(fault.x)
+            let is_affected = pseudo_random(&(self.seed, number, self.worker)) < fault.share;
+            let is_active = fault.kind == kind && fault.is_active_at(self.at_ms) && is_affected;
+            is_active.then_some(fault.x)
         })
     }
 }
 
-/// A number from 0 to below 1 that is always the same for the same value.
-pub fn drawn(value: &impl Hash) -> f64 {
-    /// Steps between 0 and 1.
-    const STEPS: u64 = 10_000;
+/// Returns a pseudo-random number in `0.0..1.0` that depends only on `value`.
+pub fn pseudo_random(value: &impl Hash) -> f64 {
+    /// Number of possible results.
+    const RESOLUTION: u64 = 10_000;
     let mut hasher = DefaultHasher::new();
     value.hash(&mut hasher);
-    (hasher.finish() % STEPS) as f64 / STEPS as f64
+    (hasher.finish() % RESOLUTION) as f64 / RESOLUTION as f64
 }
 
-/// The workers of a pool as they register.
+/// Returns the registrations of the workers of a pool.
 pub fn registrations(pool: &Pool) -> Vec<Registration> {
     let capacity = Resources::new(pool.cores * 1_000, pool.memory_mb, pool.accelerators, 0);
     (0..pool.workers)
--- a/lilacpass-lab/tests/lab.rs
+++ b/lilacpass-lab/tests/lab.rs
@@ -1,5 +1,5 @@
-//! The lab's own promises: the same seed gives the same play, the bound is a bound, a scenario that makes no
-//! sense is refused with the name of the field, and policies differ where they should.
+//! Tests of the lab: simulations are reproducible, the bound is a bound, invalid scenarios are refused with the name
+//! of the field, and policies differ where they should.
 
 use std::path::Path;
 
@@ -57,27 +57,27 @@
 "#;
 
 fn small() -> Scenario {
-    scenario::parse(SMALL).expect("a good scenario")
+    scenario::parse(SMALL).expect("a valid scenario")
 }
 
-/// The part of an outcome that does not depend on the machine of the lab.
+/// Clears the part of an outcome that depends on the speed of the machine.
 fn without_times(outcome: Outcome) -> Outcome {
     Outcome { decisions: Decisions::default(), ..outcome }
 }
 
 #[test]
-fn the_same_seed_gives_the_same_play() {
-    let play = |seed| without_times(cli::play(&small(), Policy::Today, seed));
-    assert_eq!(play(3), play(3));
-    assert_ne!(play(3), play(4));
+fn the_same_seed_gives_the_same_outcome() {
+    let simulate = |seed| without_times(cli::simulate(&small(), Policy::Today, seed));
+    assert_eq!(simulate(3), simulate(3));
+    assert_ne!(simulate(3), simulate(4));
 }
 
 #[test]
-fn all_policies_serve_a_small_cell_and_none_beats_the_bound() {
-    let bound = cli::play(&small(), Policy::Bound, 5);
+fn all_policies_complete_most_work_and_none_exceeds_the_bound() {
+    let bound = cli::simulate(&small(), Policy::Bound, 5);
     assert!(bound.worth > 0.99, "{bound:?}");
     for policy in Policy::all() {
-        let outcome = cli::play(&small(), policy, 5);
+        let outcome = cli::simulate(&small(), policy, 5);
         assert!(outcome.worth <= bound.worth, "{outcome:?}");
         assert!(outcome.worth > 0.5, "{outcome:?}");
         let asked: u32 = outcome.classes.iter().map(|class| class.asked).sum();
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn names_of_policies_are_read_as_they_are_printed() {
+fn policies_parse_from_their_names() {
     for policy in Policy::all() {
         assert_eq!(policy.to_string().parse::<Policy>().expect("a known name"), policy);
     }
@@ -96,24 +96,24 @@
     assert_eq!("without-preemption".parse::<Policy>().ok(), Some(without));
 }
 
-/// Urgent work finds all workers full of work that saves its progress. Without preemption it waits until that
-/// ends, and its callers get it late.
+/// All workers are full of checkpointing tasks when urgent jobs are submitted. Without preemption the urgent jobs wait
+/// until these tasks end, and end late.
 #[test]
-fn preemption_helps_urgent_work_among_work_that_saves_its_progress() {
+fn preemption_helps_urgent_jobs_when_checkpointing_tasks_fill_the_workers() {
     let text = SMALL
         .replace("rate = 1.0\n", "rate = 4.0\n")
         .replace("work_ms = 1500", "work_ms = 6000")
         .replace("length_s = 8.0", "length_s = 20.0");
-    let full = scenario::parse(&text).expect("a good scenario");
-    let quick = |policy| cli::play(&full, policy, 7).classes[0].worth;
-    let with = quick(Policy::Today);
-    let without = quick(Policy::Without(Mechanism::Preemption));
+    let full_cell = scenario::parse(&text).expect("a valid scenario");
+    let quick_worth = |policy| cli::simulate(&full_cell, policy, 7).classes[0].worth;
+    let with = quick_worth(Policy::Today);
+    let without = quick_worth(Policy::Without(Mechanism::Preemption));
     assert!(with > without + 0.1, "{with:.3} with, {without:.3} without");
 }
 
 #[test]
-fn a_scenario_that_makes_no_sense_is_refused_with_the_name_of_the_field() {
-    for (from, to, named) in [
+fn an_invalid_scenario_is_refused_with_the_name_of_the_field() {
+    for (from, to, field) in [
         ("workers = 6", "workers = 0", "pool[0].workers"),
         ("rate = 5.0", "rate = 0.0", "class[0].rate"),
         ("cpu_milli = 2000", "cpu_milli = 9000", "class[1].service"),
@@ -123,13 +123,13 @@
         ("rest_s = 10.0", "rest = 10.0", "rest"),
     ] {
         let text = SMALL.replace(from, to);
-        let reason = scenario::parse(&text).expect_err(named).to_string();
-        assert!(reason.contains(named), "{reason:?} names {named}");
+        let message = scenario::parse(&text).expect_err(field).to_string();
+        assert!(message.contains(field), "{message:?} must contain {field}");
     }
 }
 
 #[test]
-fn the_scenarios_of_the_repository_are_good() {
+fn the_example_scenarios_are_valid() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples/lab");
     let mut count = 0;
     for entry in folder.read_dir().expect("a folder") {
@@ -140,21 +140,21 @@
     assert!(count >= 6, "{count} scenarios");
 }
 
-/// Guards against a lab in which crashing tasks and shrinking workers leave no trace, and a leader that lets either
-/// wear out the cell.
+/// Guards against a lab that does not simulate crashing tasks and shrinking workers, and against a leader that restarts
+/// crashing tasks too often or overcommits shrunk workers.
 #[test]
-fn crashing_tasks_are_given_up_and_shrinking_workers_are_not_overfilled() {
+fn crashing_tasks_are_stopped_and_shrinking_workers_are_not_overcommitted() {
     let fault = "kind = \"failing-workers\"\nat_s = 3.0\nfor_s = 3.0\nshare = 0.3\nx = 0.5";
     let faults = "kind = \"crashing-tasks\"\nat_s = 1.0\nfor_s = 3.0\nshare = 0.1\n\n[[fault]]\n\
                   kind = \"shrinking-workers\"\nat_s = 3.0\nfor_s = 3.0\nshare = 0.5\nx = 0.5";
     assert!(SMALL.contains(fault));
-    let scenario = scenario::parse(&SMALL.replace(fault, faults)).expect("a good scenario");
+    let scenario = scenario::parse(&SMALL.replace(fault, faults)).expect("a valid scenario");
     for seed in 1..10 {
-        let outcome = cli::play(&scenario, Policy::Today, seed);
+        let outcome = cli::simulate(&scenario, Policy::Today, seed);
         assert!(outcome.most_crashing_starts <= 5, "seed {seed}: {outcome:?}");
         assert_eq!(outcome.over_capacity, 0, "seed {seed}");
     }
     let crashed: u32 =
-        (1..10).map(|seed| cli::play(&scenario, Policy::Today, seed).crashed_workers).sum();
-    assert!(crashed > 0, "some workers crash");
+        (1..10).map(|seed| cli::simulate(&scenario, Policy::Today, seed).crashed_workers).sum();
+    assert!(crashed > 0, "some workers must crash");
 }
