--- a/lilacpass-lab/src/workers.rs
+++ b/lilacpass-lab/src/workers.rs
@@ -22,8 +22,8 @@
 }
 
 impl WorkerConditions<'_> {
-    /// Returns the strength of a fault on this worker, or `None` if the worker is not affected. A fault affects the same
-    /// workers as long as it lasts.
+    /// Returns the strength of a fault on this worker, or `None` if the worker is not affected. A fault affects the
+    /// same workers as long as it lasts.
     pub fn strength(&self, kind: FaultKind) -> Option<f64> {
         let mut faults = self.scenario.faults.iter().enumerate();
         faults.find_map(|(number, fault)| {
