--- a/lilacpass-node/src/append.rs
+++ b/lilacpass-node/src/append.rs
@@ -1,4 +1,4 @@
-//! Appends of the leader: sent again until the store has said what became of them.
+//! Appends of the leader, which are repeated until the store has confirmed or rejected them.
 
 use std::{rc::Rc, time::Duration};
 
@@ -15,30 +15,30 @@
 
 use crate::{metrics, node::Node};
 
-/// An answer is late after so many times the typical_latency time.
+/// A response is late after this many times the usual latency.
 const RETRY_LATENCY_FACTOR: u32 = 4;
-/// The shortest time after which an answer is late. The store takes 8 ms ordinarily. Sending again
-/// costs one call; waiting for an answer that was lost stops all work meanwhile.
+/// Minimum time after which a response is late. The store usually takes 8 ms. Sending again costs one call, while
+/// waiting for a lost response blocks all work.
 const MIN_RETRY_INTERVAL: Duration = Duration::from_millis(90);
-/// Tries after the same time, before it doubles each time: lost answers come at random, and with
-/// every second one lost most appends are settled by then.
+/// Number of attempts at the same interval before it starts to double. Lost responses are random, and even if every
+/// second one is lost, most appends are settled by then.
 const FIXED_INTERVAL_ATTEMPTS: u32 = 4;
-/// The longest time until an append is sent once more beside those under way, unless the store is known
-/// to take longer. When a silent store answers again, the append is stored this much later at most;
-/// waiting for the last one alone, up to 3 s, lost all jobs handed in for 3 s after an outage of 4 s.
+/// Maximum interval after which an append is sent again besides those in flight, unless the store is known to be
+/// slower. It bounds how long after the end of an outage the append is stored. When only the response to the last
+/// attempt was awaited, for up to 3 s, all jobs submitted in the 3 s after an outage of 4 s were lost.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// The longest wait for one answer.
+/// Timeout of a single attempt, in addition to its transfer time.
 const MAX_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// How many times as long as its records need on the link of this instance an append may take before it is
-/// sent once more. Others use the link too.
+/// An append is sent again after this many times its transfer time on this instance's link, in addition to the latency.
+/// Other traffic shares the link.
 const LINK_RETRY_FACTOR: u32 = 2;
-/// How many times as long it may take before it is given up.
+/// An attempt is abandoned after this many times its transfer time, in addition to [`MAX_TIMEOUT`].
 const LINK_TIMEOUT_FACTOR: u32 = 8;
-/// An append that takes so long is worth a line in the log. Ordinary ones take 8 ms.
+/// Latency from which an append is logged. Usual ones take 8 ms.
 const SLOW_APPEND: Duration = Duration::from_millis(100);
-/// First backoff before an append that was refused is sent again; doubles up to the most.
+/// First pause before a refused append is sent again. It doubles up to [`MAX_BACKOFF`].
 const INITIAL_BACKOFF: Duration = Duration::from_millis(10);
-/// The longest backoff. All instances together may make a few hundred calls a second.
+/// Maximum pause. All instances together may make a few hundred calls a second.
 const MAX_BACKOFF: Duration = Duration::from_millis(300);
 
 /// Why an append was not stored.
@@ -46,14 +46,14 @@
 pub enum AppendError {
     /// Another instance has taken over, so this one must not write any more.
     Deposed,
-    /// The store has surely done nothing. The number may be used again, for other records too.
+    /// The store has certainly not stored the append. Its sequence number may be reused, also for other records.
     NotStored,
 }
 
-/// Stores records as one append of a writer. Returns once the store has said what became of them.
+/// Stores records as one append of a writer. Returns once the store has confirmed or rejected it.
 ///
-/// Time on the link counts for nothing: if copies were sent again and given up after the same time whatever their
-/// length, long ones would fill a thin link, and none would ever be whole.
+/// Transfer time extends all timeouts. With the same timeouts for appends of any length, copies of a long one would
+/// fill a thin link, and none of them would ever be complete.
 pub async fn store(
     node: &Rc<Node>,
     partition: &Partition,
@@ -99,11 +99,11 @@
     send_until_settled(send, node.append_latency.get(), transfer_time).await
 }
 
-/// Sends an append until the store has said what became of it. `typical_latency` is how long the store takes, `transfer_time` what the
-/// append takes on the way to it beyond that.
+/// Sends an append until the store has confirmed or rejected it. `typical_latency` is the latency of the store, and
+/// `transfer_time` the time that the append needs on the link in addition.
 ///
-/// An append without an answer may be carried out later, so it is sent again under the same number,
-/// beside those under way; the store carries it out once and gives each the same answer.
+/// An append without a response may still be executed, so it is sent again under the same sequence number, besides the
+/// attempts in flight. The store executes it once and gives each attempt the same response.
 pub async fn send_until_settled<F>(
     send: impl Fn() -> F,
     typical_latency: Duration,
@@ -142,7 +142,7 @@
                 if !may_be_stored && in_flight.is_empty() {
                     return Err(AppendError::NotStored);
                 }
-                // What others under way are told is waited for beside this.
+                // Responses to the attempts in flight are awaited meanwhile.
                 next_attempt = next_attempt.min(Instant::now() + with_jitter(backoff));
                 backoff = (backoff * 2).min(MAX_BACKOFF);
             }
@@ -154,8 +154,8 @@
     backoff.mul_f64(rand::rng().random_range(0.5..1.5))
 }
 
-/// Stores one call of a batch. Only the first may be given up as not done: after it, part of the batch
-/// is stored, and a job in it must not be refused as not run.
+/// Stores one call of a batch. Only the first call may fail as not stored: after it, part of the batch is in the log,
+/// and its jobs must not be refused as not run.
 pub async fn store_batch_call(
     node: &Rc<Node>,
     partition: &Partition,
@@ -171,20 +171,22 @@
     }
 }
 
-/// When an append is sent again first, by how long the store takes: a slow one must not be sent
-/// everything several times.
+/// Interval before an append is sent again, from the store's latency: a slow store must not receive every append
+/// several times.
 fn initial_retry_interval(typical_latency: Duration) -> Duration {
     (typical_latency * RETRY_LATENCY_FACTOR).clamp(MIN_RETRY_INTERVAL, MAX_TIMEOUT)
 }
 
-/// Learns how long the store takes: a slow one must not be sent everything several times.
+/// Updates the latency estimate. It rises at once and falls slowly, so that a slow store does not receive every append
+/// several times.
 fn update_latency(node: &Node, took: Duration) {
     let known = node.append_latency.get();
     let updated = if took > known { took } else { (known * 7 + took) / 8 };
     node.append_latency.set(updated);
 }
 
-/// Splits records into calls that the store accepts, in order.
+/// Splits records into calls of at most `max_bytes`, in order. A record that is longer than that gets a call of its
+/// own.
 pub fn split(records: &[Record], max_bytes: usize) -> Vec<Bytes> {
     let mut calls = Vec::new();
     let mut first = 0;
@@ -205,6 +207,6 @@
 fn push_call(calls: &mut Vec<Bytes>, records: &[Record]) {
     match store::encode_records(records) {
         Ok(bytes) => calls.push(bytes),
-        Err(err) => log::error!(error:% = err; "records can't be encoded"),
+        Err(err) => log::error!(error:% = err; "records cannot be encoded"),
     }
 }
--- a/lilacpass-node/src/budget.rs
+++ b/lilacpass-node/src/budget.rs
@@ -1,18 +1,17 @@
-//! How many calls may be made twice.
+//! A budget for sending orders a second time.
 //!
-//! Load pattern: a leader or a network that is slow makes every answer late. If each late order were sent
-//! again, that would double the calls just when there are too many. A budget lets a share of them be
-//! repeated: enough where answers get lost, next to nothing where all are late.
+//! A slow leader or network makes every response late. If each late order were sent again, the number of calls would
+//! double just when there are too many already. The budget allows a share of the orders to be repeated: enough to make
+//! up for lost responses, and almost none when all of them are late.
 
 use std::cell::Cell;
 
-/// What each order adds to the budget: one in ten may be sent again. The worst loss seen is one in
-/// eighteen.
+/// Credit that each order earns: one in ten may be sent again. The highest loss rate seen is one in eighteen.
 const CREDIT_PER_ORDER: f64 = 0.1;
-/// The most that can be credit up: a burst of lost answers, as when a worker's connections are reset.
+/// Maximum credit, which covers a burst of lost responses, as when a worker's connections are reset.
 const MAX_CREDIT: f64 = 20.0;
 
-/// A budget for sending orders again.
+/// Limits how many orders are sent again.
 #[derive(Debug)]
 pub struct RetryBudget {
     credit: Cell<f64>,
@@ -25,12 +24,12 @@
 }
 
 impl RetryBudget {
-    /// An order was sent for the first time.
+    /// Adds the credit for an order that is sent for the first time.
     pub fn earn(&self) {
         self.credit.set((self.credit.get() + CREDIT_PER_ORDER).min(MAX_CREDIT));
     }
 
-    /// Takes what sending an order again costs. Returns whether there was enough.
+    /// Takes the cost of sending an order again. Returns whether there was enough credit.
     pub fn spend(&self) -> bool {
         let enough = self.credit.get() >= 1.0;
         if enough {
--- a/lilacpass-node/src/clock.rs
+++ b/lilacpass-node/src/clock.rs
@@ -1,10 +1,10 @@
-//! The only place that reads clocks.
+//! The only module that reads the system clocks.
 
 use lilacpass_lead::Now;
 use rustix::time::{ClockId, clock_gettime};
 
-/// The present time. The steady part goes on while the machine is suspended, so that whoever was
-/// suspended notices how old its knowledge is.
+/// The current time. The steady clock includes the time during which the machine is suspended, so that an instance
+/// notices how old its knowledge is after a suspension.
 pub fn now() -> Now {
     Now { steady_ms: read_ms(ClockId::Boottime), unix_ms: read_ms(ClockId::Realtime) }
 }
--- a/lilacpass-node/src/desired_relay.rs
+++ b/lilacpass-node/src/desired_relay.rs
@@ -1,7 +1,7 @@
-//! The desired state from one instance to another, for those that the store does not answer.
+//! Transfer of the desired state between instances, for those that cannot reach the store.
 //!
-//! Greetings tell the version alone. The desired state itself may be larger than a link carries in the time of
-//! a greeting: if it came with each answer, instances with thin links would take a sound leader for silent.
+//! Heartbeats carry only its version. The desired state may be too large for a link to carry within the timeout of a
+//! heartbeat. If every response included it, instances with thin links would take a healthy leader for unresponsive.
 
 use std::{cell::Cell, cmp, rc::Rc, time::Duration};
 
@@ -14,40 +14,41 @@
 
 use crate::{clock, metrics, node::Node, peers};
 
-/// How long an instance may know of a newer version before it asks another instance, beside the time that the
-/// version needs on its link. The store hands a change to all that follow it at once; the platform allows 2 s.
+/// How long an instance waits for the store to deliver a newer version before it requests it from another instance, in
+/// addition to the transfer time. The store pushes a change to all watchers at once; the platform allows 2 s for it to
+/// take effect.
 const STORE_WAIT: Duration = Duration::from_millis(800);
-/// How many times as long as a state needs on the link its arrival from the store is waited for. Others use the link
-/// too.
+/// The wait for the store includes this many times the transfer time on an idle link, because other traffic shares the
+/// link.
 const LINK_FACTOR: u32 = 2;
-/// Time between looks whether that has passed.
+/// Interval between checks of whether the wait is over.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// How long an instance may take to begin its answer, and may pause within it.
+/// Timeout for the beginning of a response, and for each pause within it.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Pause after a call that brought nothing. Spread, so that instances of a cut-off data centre do not ask
-/// all together.
+/// Pause after a call that returned no desired state. Jitter is added, so that the instances of a data centre that is
+/// cut off do not send their requests at the same time.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// Part of the own link that answers may fill; the rest stays free for greetings and callers.
+/// Share of the instance's own link that responses may use; the rest is left to heartbeats and client requests.
 const LINK_SHARE: f64 = 0.5;
 
-/// A version that another instance is known to have.
+/// An instance that has reported a version of the desired state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DesiredSource {
-    /// The version.
+    /// The reported version.
     pub version: u64,
-    /// The instance.
+    /// Address of the instance for peers.
     pub address: String,
 }
 
-/// Spaces out answers, so that they fill no more than part of the link.
+/// Limits the bandwidth of responses to a share of the link.
 #[derive(Debug, Default)]
 pub struct Pacing {
     free_at_ms: Cell<u64>,
 }
 
 impl Pacing {
-    /// Takes the time that `bytes` need on a link. Returns how long to wait before asking again where the link
-    /// is taken.
+    /// Reserves the link for as long as `bytes` take. Returns `None` if it was free, or else the time in milliseconds
+    /// after which the peer should retry.
     pub fn reserve(&self, bytes: size::Bytes, link: BytesPerSecond, now_ms: u64) -> Option<u64> {
         let busy_ms = self.free_at_ms.get().saturating_sub(now_ms);
         if busy_ms > 0 {
@@ -59,7 +60,7 @@
     }
 }
 
-/// Answers an instance that asks for the desired state.
+/// Responds to a peer that requests the desired state.
 pub fn serve(node: &Node, question: &v1::PeerConfig) -> v1::PeerConfigReply {
     let newer = node.published().filter(|p| p.desired.version > question.known_version);
     let Some(published) = newer else { return v1::PeerConfigReply::default() };
@@ -74,7 +75,8 @@
     }
 }
 
-/// Asks others for the desired state whenever this instance has known of a newer one for some time.
+/// Requests the desired state from other instances whenever a newer version has been known for longer than
+/// [`store_wait`].
 pub async fn run(node: Rc<Node>) {
     let mut behind_since_ms = None;
     loop {
@@ -95,14 +97,15 @@
     }
 }
 
-/// How long the store is left to bring a newer version, where the one here has so many bytes.
+/// How long to wait for the store to deliver a newer version, given the size of the current one.
 ///
-/// Asked for while it is arriving, the state comes twice over the same link and takes twice as long.
+/// If the state were requested while it is arriving from the store, it would be transferred twice over the same link,
+/// and take twice as long.
 pub fn store_wait(bytes: size::Bytes, link: BytesPerSecond) -> Duration {
     STORE_WAIT + link.time_for(bytes) * LINK_FACTOR
 }
 
-/// Asks an instance for its desired state, and takes it in. Returns how long to wait before the next call.
+/// Requests the desired state from an instance, and adopts it. Returns the pause before the next call.
 async fn fetch(node: &Node, source: &DesiredSource) -> Duration {
     let address = choose_peer(node, source);
     let result = request(node, &address, source).await;
@@ -110,7 +113,7 @@
     match result {
         Ok(pause) => pause,
         Err(err) => {
-            log::info!(peer = address.as_str(), error:% = err; "desired state is not obtained");
+            log::info!(peer = address.as_str(), error:% = err; "fetching the desired state from a peer failed");
             RETRY_PAUSE
         }
     }
@@ -121,7 +124,8 @@
     let reply = peers::fetch_desired(node, address, known_version, RESPONSE_TIMEOUT).await?;
     if !reply.config.is_empty() {
         let state = desired::decode(&reply.config).inspect_err(|_| {
-            // Fetched again and again, it would fill both links for as long as this instance can't read it.
+            // Fetching it again and again would fill the links of both instances for as long as this one cannot read
+            // it.
             if address == source.address {
                 node.unreadable_desired_version.set(source.version);
             }
@@ -131,8 +135,8 @@
     Ok(cmp::max(RETRY_PAUSE, Duration::from_millis(u64::from(reply.retry_after_ms))))
 }
 
-/// The instance that is known to have it, or any other: a data centre that is cut off from the store asks all
-/// at once, and those that have it by then share the work.
+/// The reported source or any other instance, with equal probability. All instances of a data centre that is cut off
+/// from the store send requests at the same time, and those that have the state by then share the load.
 fn choose_peer(node: &Node, source: &DesiredSource) -> String {
     let own_address = node.peer_address();
     let known = node.known_members.borrow();
--- a/lilacpass-node/src/desired_watch.rs
+++ b/lilacpass-node/src/desired_watch.rs
@@ -1,4 +1,4 @@
-//! Follows the desired state in the store.
+//! Watches the desired state in the store.
 
 use std::{rc::Rc, time::Duration};
 
@@ -12,18 +12,18 @@
 
 use crate::{clock, metrics, node::Node};
 
-/// How long a read waits for a change. Bounds how long a connection that has gone silent hides one,
-/// together with the timeout below; the platform allows 2 s for a change to be in force.
+/// How long a read waits for a change. Together with [`RESPONSE_TIMEOUT`] it bounds how long a connection that has gone
+/// silent can hide one. The platform allows 2 s for a change to take effect.
 const POLL_WAIT: Duration = Duration::from_millis(1_000);
-/// How long the store may take to begin its answer beyond the wait, and may pause within it. Its slowest
-/// answers take 0.6 s.
+/// Timeout for the beginning of a response beyond the wait, and for each pause within it. The store's slowest responses
+/// take 0.6 s.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
-/// With so many records or more still to be read, the newest of each key are read in place of them.
+/// Number of unread records from which the newest record of each key is read instead.
 const SKIP_TO_NEWEST_LAG: u64 = 2;
 /// Pause after a failed read.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Follows the desired state as long as the process runs.
+/// Watches the desired state for as long as the process runs.
 pub async fn run(node: Rc<Node>) {
     let partition = Partition::of_platform(desired::TOPIC);
     let mut next = None;
@@ -39,32 +39,33 @@
         if let Ok(position) = result {
             next = position;
         }
-        // After a failure the place is kept: what has come since is mostly nothing, and shorter than the newest.
+        // The position is kept after a failure. Usually nothing has been written since, so reading on is cheaper than
+        // reading the newest record again.
         if has_failed || next.is_none() {
             time::sleep(RETRY_PAUSE).await;
         }
     }
 }
 
-/// Writes a line when reads begin to fail, and one when they end to.
+/// Logs when reads start to fail, and when they succeed again.
 fn log_read_failures<T>(failing_since_ms: &mut Option<u64>, result: &Result<T>) {
     let now_ms = clock::now().steady_ms;
     match result {
         Ok(_) => {
             if let Some(since_ms) = failing_since_ms.take() {
                 let failed_ms = now_ms.saturating_sub(since_ms);
-                log::info!(failed_ms; "desired state can be read again");
+                log::info!(failed_ms; "reading the desired state succeeds again");
             }
         }
         Err(err) if failing_since_ms.is_none() => {
             *failing_since_ms = Some(now_ms);
-            log::info!(error:% = err; "desired state can't be read");
+            log::info!(error:% = err; "reading the desired state failed");
         }
         Err(_) => {}
     }
 }
 
-/// Takes in the newest desired state. Returns where to read on.
+/// Adopts the newest desired state. Returns the position from which to continue.
 async fn read_newest(node: &Node, partition: &Partition) -> Result<u64> {
     let page = node.store.newest(partition, None, RESPONSE_TIMEOUT).await?;
     node.record_store_response();
@@ -72,11 +73,12 @@
     Ok(page.end)
 }
 
-/// Takes in changes from a place on. Returns where to read on; none to begin anew.
+/// Adopts changes from a position on. Returns the position from which to continue, or `None` to read the newest record
+/// again.
 ///
-/// Each desired state is whole, so of several that wait the last alone counts. Read in order, those that came in an
-/// outage keep an instance with a thin link behind for long after its end, and those that come faster than a link
-/// carries them would never be caught up with.
+/// Each record holds the whole desired state, so only the last of several unread ones matters. Reading all records
+/// written during an outage in order would keep an instance with a thin link behind for long afterwards, and if they
+/// are written faster than the link can carry them, it would never catch up.
 async fn read_changes(node: &Node, partition: &Partition, from: u64) -> Result<Option<u64>> {
     match node.store.read(partition, from, POLL_WAIT, RESPONSE_TIMEOUT).await? {
         Read::Records { records, end } => {
@@ -89,6 +91,7 @@
     }
 }
 
+/// Adopts a record if it holds a desired state that can be decoded.
 fn apply(node: &Node, placed: &Placed) {
     if placed.record.key != desired::KEY {
         return;
@@ -96,7 +99,7 @@
     match desired::decode(&placed.record.value) {
         Ok(state) => node.publish(state, Bytes::from(placed.record.value.clone()), "store"),
         Err(err) => {
-            log::warn!(offset = placed.offset, error:% = err; "desired state is passed over");
+            log::warn!(offset = placed.offset, error:% = err; "ignoring a desired state that cannot be decoded");
         }
     }
 }
--- a/lilacpass-node/src/election.rs
+++ b/lilacpass-node/src/election.rs
@@ -1,8 +1,8 @@
-//! Who leads: follows the leader while it lives, and takes its place when it does not.
+//! Leader election: follows the current leader and takes over when it fails.
 //!
-//! Safety never rests on what is decided here: only one of several that take over at once can close
-//! the log, and whoever did not is refused by the store and by the workers. This module decides only
-//! that somebody leads soon, and that a leader that lives is left alone.
+//! Safety does not depend on this module. Of several instances that take over at the same time, only one can append the
+//! record that fences the log, and the store and the workers reject all others. This module only ensures that there is
+//! a leader soon, and that a working leader is not replaced.
 
 use std::{pin::pin, rc::Rc, time::Duration};
 
@@ -19,59 +19,67 @@
 
 use crate::{clock, leader_handle, leader_loop, metrics, node::Node, peers, takeover};
 
-/// Time between greetings to the leader.
+/// Interval between heartbeats to the leader.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// How long the leader may take to answer a greeting. A slow instance of an eighth of the ordinary
-/// speed answers within 100 ms. One that takes longer is only watched, which costs a read.
+/// How long to wait for the response to a heartbeat. An instance that runs at an eighth of the usual speed responds
+/// within 100 ms. A slower one is not replaced at once: its renewals are observed first, which costs one read of the
+/// store.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long a leader that is silent must go without renewal, so that a leader that merely can't be
-/// reached from here is left alone. Renewals are 0.2 s apart, and may be late by a tenth of a second
-/// where the processor of the leader is shared out by tenths. What the store takes is added.
+/// How long an unresponsive leader must go without a renewal before it is replaced, so that a leader that is merely
+/// unreachable from this instance stays in place. Renewals are 0.2 s apart, and can be a tenth of a second late where
+/// the leader's CPU time is allotted in slices of a tenth of a second. The latency of the store is added.
 const UNRESPONSIVE_RENEWAL_WAIT: Duration = Duration::from_millis(320);
-/// The same where its address refuses connections: its process is most likely gone.
+/// As [`UNRESPONSIVE_RENEWAL_WAIT`], but for a leader whose address refuses connections: its process is most likely
+/// gone.
 const REFUSED_RENEWAL_WAIT: Duration = Duration::from_millis(260);
-/// The watch is longer by so many times what the store took to tell who leads: a renewal takes one
-/// such time, and the next begins after it.
+/// How many times the store latency, measured on the lookup of the leader, is added to the wait for a renewal. A
+/// renewal takes one such latency, and the next one starts only after it.
 const STORE_LATENCY_FACTOR: u32 = 2;
-/// How long another that has announced its take-over is given for it.
+/// How long to wait for another instance that has announced a take-over.
 const CLAIM_WAIT: Duration = Duration::from_millis(1_300);
-/// Spreads instances that notice the same loss at the same time.
+/// Upper bound of the random delay that separates instances that notice the same failure at the same time.
 const MAX_JITTER: Duration = Duration::from_millis(40);
-/// How much longer an instance waits that is smaller than others: those notice the same loss and
-/// announce their take-over meanwhile. A leader of 350 workers fills a quarter of a core; one with
-/// an eighth places 200 tasks a second where 700 arrive, and falls behind for good.
+/// Additional wait of an instance that is smaller than others, which notice the same failure and announce their
+/// take-over meanwhile. The leader of 350 workers uses a quarter of a core. With an eighth of a core it places 200
+/// tasks a second while 700 arrive, and never catches up.
 const SMALL_INSTANCE_DELAY: Duration = Duration::from_millis(350);
-/// An instance with less counts as small while nobody has told it of others.
+/// CPU limit, in thousandths of a core, below which an instance counts as small before the leader has reported the size
+/// of the other instances.
 const SMALL_CPU_MILLIS: u32 = 250;
-/// Greetings in a row in which a leader says that the store does not answer it, before an instance
-/// that the store does answer takes over.
+/// Number of consecutive heartbeats in which the leader must report that it cannot reach the store before an instance
+/// that can reach it takes over.
 const CUT_OFF_HEARTBEATS: u32 = 3;
-/// How long the store may take for a call here.
+/// Timeout of a store call in this module.
 const STORE_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long the store may take to note an announcement: a slow one takes 0.8 s. Given up sooner, it was noted
-/// all the same, and kept everybody waiting for a take-over that nobody made.
+/// Timeout for storing the announcement of a take-over, which takes a slow store 0.8 s. With a shorter timeout,
+/// announcements were stored after they had been given up, and every instance waited for a take-over that never came.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How fast the store must answer an instance that is asked to take over. One that is slow for all
-/// is no reason to change the leader.
+/// Store timeout of an instance that is asked to take over from a leader that stays. A store that is slow for every
+/// instance is no reason to change the leader.
 const PROMOTE_STORE_TIMEOUT: Duration = Duration::from_millis(150);
-/// How many peers, drawn at random, are asked who leads before the store is tried again. Each that does
-/// not answer takes the time of a greeting; forty of them would take ten seconds.
+/// Number of randomly chosen peers that are asked for the leader before the store is tried again. Each unresponsive
+/// peer costs [`HEARTBEAT_TIMEOUT`]; forty of them would take ten seconds.
 const PEER_SAMPLE_SIZE: usize = 4;
-/// Pause after a store call that failed.
+/// Pause after a failed store call.
 const STORE_RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Key of the record by which an instance announces that it is taking over.
 const CLAIM_KEY: &str = "claim";
 
-/// What a greeting showed.
+/// Outcome of a heartbeat.
 enum HeartbeatResult {
+    /// The instance leads. `store_reachable` is its own report.
     Leads { store_reachable: bool },
+    /// It does not lead, and named a leader with a newer epoch.
     OtherLeader,
+    /// It does not lead and knows no newer leader.
     NotLeading,
+    /// It was certainly not reached, as where its address refuses connections.
     ConnectionRefused,
+    /// The heartbeat failed in any other way.
     Unresponsive,
 }
 
-/// Follows or leads as long as the process runs.
+/// Follows the leader, or takes over where it has failed, for as long as the process runs.
 pub async fn run(node: Rc<Node>) {
     let mut store_failures = 0;
     loop {
@@ -88,7 +96,7 @@
             HeartbeatResult::Leads { store_reachable } => {
                 store_failures = if store_reachable { 0 } else { store_failures + 1 };
                 if store_failures >= CUT_OFF_HEARTBEATS && node.store_reachable() {
-                    log::info!(leader = address.as_str(); "the store does not answer the leader");
+                    log::info!(leader = address.as_str(); "leader cannot reach the store");
                     campaign_with_heartbeats(&node, &address, view.epoch).await;
                 }
                 let mut leaving = node.leaving.subscribe();
@@ -105,10 +113,11 @@
     }
 }
 
-/// Tries to take over from a leader that the store does not answer, and greets it meanwhile.
+/// Tries to take over from a leader that cannot reach the store, and sends it heartbeats meanwhile.
 ///
-/// Where the store answers nobody, the try lasts for a second or two. Without the greetings, callers who ask
-/// for the state of their jobs in that time are told that there is no leader, though it lives and knows.
+/// Where the store is unavailable to all instances, the attempt lasts a second or two. Without heartbeats, clients that
+/// query the state of their jobs during that time are told that there is no leader, although the leader is alive and
+/// knows the state.
 async fn campaign_with_heartbeats(node: &Rc<Node>, address: &str, epoch: u64) {
     let mut campaign = pin!(campaign(node, REFUSED_RENEWAL_WAIT));
     loop {
@@ -116,14 +125,15 @@
             () = &mut campaign => return,
             () = time::sleep(HEARTBEAT_INTERVAL) => {}
         }
-        // What it shows is noted; the next greeting after this acts on it.
+        // The heartbeat updates the node itself; the main loop acts on the next one.
         let _result = send_heartbeat(node, address, epoch).await;
     }
 }
 
+/// Sends a heartbeat to the presumed leader and updates the node from the response.
 async fn send_heartbeat(node: &Rc<Node>, address: &str, epoch: u64) -> HeartbeatResult {
     if address == node.peer_address() {
-        // A former life of this instance led.
+        // An earlier incarnation of this instance led.
         return HeartbeatResult::NotLeading;
     }
     let result = peers::send_heartbeat(node, address, HEARTBEAT_TIMEOUT).await;
@@ -149,26 +159,26 @@
     }
 }
 
-/// Writes a line when greetings begin to go unanswered, and one when they are answered again.
+/// Logs when the leader stops responding to heartbeats, and when it responds again.
 fn log_reachability<T>(node: &Node, address: &str, result: &Result<T, Error>) {
     let is_unresponsive = result.is_err();
     if node.leader_unresponsive.replace(is_unresponsive) == is_unresponsive {
         return;
     }
     match result {
-        Ok(_) => log::info!(leader = address; "greetings are answered again"),
-        Err(err) => log::info!(leader = address, error:% = err; "greeting is not answered"),
+        Ok(_) => log::info!(leader = address; "leader responds to heartbeats again"),
+        Err(err) => log::info!(leader = address, error:% = err; "heartbeat to the leader failed"),
     }
 }
 
-/// Takes over if the leader is not renewed for `watch`.
+/// Takes over if the leader's record is not renewed within `renewal_wait`.
 async fn campaign(node: &Rc<Node>, renewal_wait: Duration) {
     let partition = takeover::lead_partition();
     let requested_at = Instant::now();
     let page = match node.store.newest(&partition, None, STORE_TIMEOUT).await {
         Ok(page) => page,
         Err(err) => {
-            log::info!(error:% = err; "leader can't be looked up");
+            log::info!(error:% = err; "reading the leader record failed");
             node.cut_off.set(true);
             ask_peers_for_leader(node).await;
             time::sleep(STORE_RETRY_PAUSE).await;
@@ -213,7 +223,7 @@
     }
 }
 
-/// How much longer this instance leaves the lead to larger ones.
+/// How long this instance waits for larger ones to take over first.
 fn small_instance_delay(node: &Node) -> Duration {
     let max_cpu_millis = match node.max_cpu_millis.get() {
         0 => SMALL_CPU_MILLIS,
@@ -222,8 +232,8 @@
     if node.settings.cpu_millis < max_cpu_millis { SMALL_INSTANCE_DELAY } else { Duration::ZERO }
 }
 
-/// Takes over at the word of the former leader, if the store answers this instance: at once, or
-/// where the former leader is leaving, at all.
+/// Takes over at the request of the former leader. A leader that stays is replaced only if the store responds to this
+/// instance quickly ([`PROMOTE_STORE_TIMEOUT`]); one that is leaving, if it responds at all.
 pub async fn take_over_on_request(node: &Rc<Node>, former_is_leaving: bool) {
     if node.leads() || node.is_leaving() {
         return;
@@ -233,25 +243,25 @@
     let page = match node.store.newest(&partition, None, timeout).await {
         Ok(page) => page,
         Err(err) => {
-            log::info!(error:% = err; "asked to take over, but the store does not answer");
+            log::info!(error:% = err; "take-over was requested, but the store does not respond");
             return;
         }
     };
-    log::info!("asked to take over");
-    // Keeps others, who see the former leader give up before the new one is known, from taking over
-    // from the new one at once. A renewal in between makes this fail, which does no harm.
+    log::info!("take-over requested");
+    // Other instances see the former leader resign before the new one is known. The announcement keeps them from taking
+    // over from the new leader at once. It fails if a renewal comes in between, which is harmless.
     let node = node.clone();
-    // Goes on if the connection to the former leader ends meanwhile.
+    // A separate task completes even if the connection to the former leader is closed.
     let taking_over = tokio::task::spawn_local(async move {
         let (_, snapshot) = tokio::join!(claim(&node, page.end), takeover::read_snapshot(&node));
         take_over(&node, snapshot).await;
     });
     if let Err(err) = taking_over.await {
-        log::error!(error:% = err; "take-over was broken off");
+        log::error!(error:% = err; "take-over task failed");
     }
 }
 
-/// Announces a take-over, and takes over if nobody else has written since `end`.
+/// Announces a take-over, and takes over unless another record was written after `end`.
 async fn claim_and_take_over(node: &Rc<Node>, end: u64) {
     let (claimed, snapshot) = tokio::join!(claim(node, end), takeover::read_snapshot(node));
     if claimed {
@@ -259,6 +269,7 @@
     }
 }
 
+/// Completes a take-over from the jobs that were read, and starts leading if it succeeds.
 async fn take_over(node: &Rc<Node>, snapshot: Option<takeover::Snapshot>) {
     let Some(snapshot) = snapshot else { return };
     if node.leads() || node.taking_over.replace(true) {
@@ -270,8 +281,8 @@
     node.taking_over.set(false);
 }
 
-/// Announces a take-over, only if nothing was written since the look at the leader: neither a
-/// renewal nor another's announcement.
+/// Announces a take-over, provided that the partition still ends at `end`: neither a renewal nor another instance's
+/// announcement was written since the leader record was read. Returns whether the announcement was stored.
 async fn claim(node: &Rc<Node>, end: u64) -> bool {
     let value = node.settings.instance.clone().into_bytes();
     let record = Record { key: CLAIM_KEY.to_owned(), value };
@@ -282,19 +293,18 @@
         Ok(Append::Stored { .. }) => true,
         Ok(Append::Elsewhere { .. } | Append::Fenced | Append::OutOfSequence) => false,
         Err(err) => {
-            log::info!(error:% = err; "take-over can't be announced");
+            log::info!(error:% = err; "announcing the take-over failed");
             time::sleep(STORE_RETRY_PAUSE).await;
             false
         }
     }
 }
 
-/// Waits for `watch`, but no longer than until `read`, which waits for new records, brings some. Returns
-/// those.
+/// Waits for up to `max_wait` for `read` to return new records, and returns them as soon as it does.
 ///
-/// Instances that see another's announcement must not sleep out the time that is given to it: when all
-/// instances had lost power, seven of nine learned of the new leader 1.2 s after it had taken over, and
-/// refused their callers until then.
+/// Instances that see another's announcement must not sleep for the whole [`CLAIM_WAIT`]. After a power failure of all
+/// instances, seven of nine noticed the new leader only 1.2 s after it had taken over, and refused their clients'
+/// requests until then.
 pub async fn wait_for_records(
     read: impl Future<Output = Result<Read, Error>>,
     max_wait: Duration,
@@ -304,7 +314,7 @@
         Ok(Ok(Read::Records { records, .. })) => records,
         Ok(Ok(Read::Gone)) | Err(_) => Vec::new(),
         Ok(Err(err)) => {
-            log::info!(error:% = err; "records of the leader can't be read");
+            log::info!(error:% = err; "reading the records of the leader failed");
             Vec::new()
         }
     };
@@ -314,15 +324,18 @@
     records
 }
 
+/// Decodes the newest leader record; `None` if there is none or it cannot be decoded.
 fn newest_lead_record(records: &[Placed]) -> Option<v1::LeadRecord> {
     let is_lead = |placed: &&Placed| placed.record.key == takeover::LEAD_KEY;
     let placed = records.iter().filter(is_lead).max_by_key(|placed| placed.offset)?;
     v1::LeadRecord::decode(placed.record.value.as_slice())
-        .inspect_err(|err| log::warn!(error:% = err; "record of the leader is passed over"))
+        .inspect_err(
+            |err| log::warn!(error:% = err; "ignoring a leader record that cannot be decoded"),
+        )
         .ok()
 }
 
-/// Whether another has announced its take-over since the leader last wrote.
+/// Whether another instance has announced a take-over since the leader last wrote.
 fn claimed_by_other(node: &Node, page: &Newest) -> bool {
     let offset = |key: &str| {
         page.records.iter().find(|placed| placed.record.key == key).map(|placed| placed.offset)
@@ -335,7 +348,7 @@
     by_other && offset(CLAIM_KEY) > offset(takeover::LEAD_KEY)
 }
 
-/// Asks other instances who leads, for one that the store does not answer.
+/// Asks other instances who leads, for use while the store does not respond.
 async fn ask_peers_for_leader(node: &Rc<Node>) {
     let own_address = node.peer_address();
     let peers = {
@@ -351,7 +364,9 @@
                 return;
             }
             Ok(_) => {}
-            Err(err) => log::debug!(peer = address.as_str(), error:% = err; "peer does not answer"),
+            Err(err) => {
+                log::debug!(peer = address.as_str(), error:% = err; "peer does not respond")
+            }
         }
     }
 }
--- a/lilacpass-node/src/frontend.rs
+++ b/lilacpass-node/src/frontend.rs
@@ -1,4 +1,4 @@
-//! Callers' requests: checked here, then answered by the leader.
+//! Client requests: validated here, then executed by the leader.
 
 use std::{rc::Rc, time::Duration};
 
@@ -20,24 +20,24 @@
     peers::{self, Forwarded},
 };
 
-/// Taken off the time that a caller waits, so that our answer is there before it leaves.
+/// Subtracted from the client's timeout, so that the response arrives before the client gives up.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(150);
-/// How long a request waits for a leader to be found before it is refused, unless this instance knows
-/// that it is cut off. A take-over takes about a second when the former leader has lost power.
+/// How long a request waits for a leader before it is refused, unless this instance knows that it is cut off. A
+/// take-over takes about a second when the former leader has lost power.
 const MAX_LEADER_WAIT: Duration = Duration::from_millis(1_900);
-/// Pause before a request is forwarded on again.
+/// Pause before a request is forwarded again.
 const RETRY_PAUSE: Duration = Duration::from_millis(40);
-/// A leader that has not answered a greeting for so long is not forwarded requests: it may take them
-/// and its answer be lost, and their callers could then not be told that they have not run. A greeting
-/// and the longest wait for its answer.
+/// Requests are not forwarded to a leader that has not responded to a heartbeat for this long, in milliseconds. It
+/// might accept them and its response be lost, and the clients could then not be told that their requests were not
+/// executed. The limit is one heartbeat interval plus the heartbeat timeout, rounded up.
 const MAX_FORWARD_SILENCE_MS: u64 = 500;
-/// When to come back before the first desired state is known.
+/// Retry-After, in seconds, before the first desired state is known.
 const NO_DESIRED_STATE_RETRY_S: u64 = 1;
-/// An instance that has not heard of the leader for so long is not ready. Callers are sent elsewhere
-/// after it was so for a second or two, when a leader that was lost has long been replaced.
+/// An instance is not ready if its leader has not responded for this long, in milliseconds. The platform redirects
+/// clients only after the instance has been unready for a second or two, by when a lost leader has long been replaced.
 const MAX_READY_SILENCE_MS: u64 = 400;
 
-/// Answers whether this instance takes callers.
+/// Answers the platform's readiness check.
 pub async fn ready(node: Rc<Node>, received: Received) -> Reply {
     if received.path != callers::READY_PATH {
         return Reply::error(StatusCode::NOT_FOUND, "no such path");
@@ -48,15 +48,14 @@
             is_ready, leads = node.leads(), leader_silent_ms = leader_silent_ms(&node),
             leader_store_reachable = node.leader_store_reachable.get(),
             leaving = node.is_leaving();
-            "readiness changes"
+            "readiness changed"
         );
     }
     Reply::status(if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
 }
 
-/// Whether there is a leader that takes jobs. One that the store does not answer takes none. Where a
-/// data centre is cut off, callers are better served by another, and go there once no instance of
-/// this one is ready.
+/// Whether there is a leader that accepts jobs, which requires that it can reach the store. Clients of a data centre
+/// that is cut off are better served by another one. They are redirected there once no instance of this one is ready.
 fn has_leader(node: &Node) -> bool {
     if node.leads() {
         node.store_failing_ms() < MAX_READY_SILENCE_MS
@@ -65,7 +64,7 @@
     }
 }
 
-/// Serves a caller.
+/// Serves a client request.
 pub async fn serve(node: Rc<Node>, received: Received) -> Reply {
     if received.path == callers::READY_PATH {
         return ready(node, received).await;
@@ -75,18 +74,19 @@
     let reply = handle(&node, &received).await;
     drop(open);
     node.metrics.request(reply.status, arrived.elapsed());
-    // Callers are sent elsewhere by the connection: one that stays open keeps its caller here, where it
-    // would be refused again and again.
+    // Clients are redirected by closing the connection. An open connection would keep the client at this instance,
+    // which would go on refusing its requests.
     let is_refused = reply.status == StatusCode::SERVICE_UNAVAILABLE && !has_leader(&node);
     Reply { close: reply.close || is_refused || node.is_leaving(), ..reply }
 }
 
-/// Counts a request, or an order that is relayed, as open while it lives. A caller that leaves drops the work on its
-/// request, and a planned stop would wait for a count that never falls.
+/// Counts a client request, or a relayed order, as open until it is dropped. When a client disconnects, the future that
+/// serves its request is dropped. Without this guard the count would stay too high, and a planned stop would wait for
+/// it in vain.
 pub struct OpenRequest<'a>(&'a Node);
 
 impl<'a> OpenRequest<'a> {
-    /// Counts one more.
+    /// Increments the number of open requests.
     pub fn new(node: &'a Node) -> Self {
         node.open_requests.set(node.open_requests.get() + 1);
         Self(node)
@@ -99,6 +99,7 @@
     }
 }
 
+/// Validates a request and has the leader execute it.
 async fn handle(node: &Node, received: &Received) -> Reply {
     let Some(published) = node.published() else {
         let retry_after_s = Some(NO_DESIRED_STATE_RETRY_S);
@@ -127,15 +128,15 @@
             log::info!(method:% = received.method, path = received.path.as_str(), reason; "request refused");
         }
         Answer::Uncertain => {
-            log::info!(method:% = received.method, path = received.path.as_str(); "request uncertain");
+            log::info!(method:% = received.method, path = received.path.as_str(); "outcome of request is uncertain");
         }
         _ => {}
     }
     callers::encode(&answer)
 }
 
-/// Asks the leader, and its successor if there is one, until there is an answer or time is up. All
-/// that callers ask is idempotent, so it may be asked twice.
+/// Sends a request to the leader, and to its successor if there is one, until there is a response or time is up. All
+/// client requests are idempotent, so they may be sent twice.
 async fn request_from_leader(node: &Node, ask: Ask, timeout: Duration) -> Answer {
     let start = Instant::now();
     let end = start + timeout;
@@ -151,6 +152,7 @@
         }
         let own = node.leader_handle.borrow().clone();
         let address = node.leader.borrow().address.clone();
+        // A leader that has been replaced will not respond any more.
         let forwarded = async {
             match (own, address) {
                 (Some(lead), _) => match lead.ask(ask.clone()).await {
@@ -185,12 +187,12 @@
     Answer::Refused { reason: "no leader is known", retry_after_ms }
 }
 
-/// How long the leader has not answered this instance.
+/// Time since the last response of the leader, in milliseconds.
 fn leader_silent_ms(node: &Node) -> u64 {
     clock::now().steady_ms.saturating_sub(node.last_leader_response_ms.get())
 }
 
-/// A refusal after an earlier try that may have been done proves nothing.
+/// Turns a refusal into an uncertain outcome if an earlier attempt may have been executed.
 fn account_for_earlier_attempts(answer: Answer, may_have_run: bool) -> Answer {
     match answer {
         Answer::Refused { .. } if may_have_run => Answer::Uncertain,
--- a/lilacpass-node/src/leader_loop.rs
+++ b/lilacpass-node/src/leader_loop.rs
@@ -1,4 +1,4 @@
-//! Runs the leader: brings it events, carries out what it asks for.
+//! Runs the leader: passes events to its state machine and executes the effects it requests.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -29,17 +29,17 @@
     takeover::{self, NewLeadership},
 };
 
-/// Time between ticks of the leader, which bound how late it notices that a time has passed.
+/// Interval of the leader's ticks, which bounds how late it notices that a deadline has passed.
 const TICK: Duration = Duration::from_millis(50);
-/// Time between renewals in the store. Followers that can't reach a leader watch for one for 0.3 s
-/// or longer.
+/// Interval between renewals of the leader record. Followers that cannot reach a leader wait at least about 0.3 s for
+/// one.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between updates of the lanes.
+/// Interval between updates of the lanes, in milliseconds.
 const LANES_INTERVAL_MS: u64 = 200;
-/// Added to the time that a call for advice should take, before it is given up.
+/// Added to the expected duration of an advice call to obtain its timeout.
 const ADVICE_SLACK: Duration = Duration::from_millis(900);
 
-/// Begins to lead.
+/// Starts to lead.
 pub fn start(node: &Rc<Node>, leadership: NewLeadership) {
     let (messages, inbox) = mpsc::unbounded_channel();
     let (end, ended) = watch::channel(false);
@@ -79,7 +79,8 @@
     }
 }
 
-/// Renews the record of the leader, which shows to all that it lives, and to it that it still leads.
+/// Renews the leader record. Renewals show followers that the leader is alive, and confirm to the leader that it still
+/// leads.
 async fn renew(
     node: Rc<Node>,
     epoch: u64,
@@ -87,7 +88,7 @@
     messages: mpsc::UnboundedSender<Message>,
 ) {
     let partition = takeover::lead_partition();
-    // The first tells who leads, and is sent at once.
+    // The first renewal announces the new leader, and is written without delay.
     let mut renewal = 0;
     while !messages.is_closed() {
         let record = takeover::lead_record(&node, epoch, renewal);
@@ -110,6 +111,7 @@
     }
 }
 
+/// Event loop around the leader's state machine.
 struct LeaderLoop {
     node: Rc<Node>,
     epoch: u64,
@@ -124,20 +126,21 @@
 }
 
 impl LeaderLoop {
+    /// Handles messages until this instance is deposed.
     async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<Message>, end: watch::Sender<bool>) {
         let mut ticks = time::interval(TICK);
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         while !self.is_deposed {
             let has_more = !self.queue.is_empty() || self.leader.has_more();
             tokio::select! {
-                // A tick that is due comes first: it shows how late the leader is, and lets leases lapse.
+                // A due tick takes precedence: it measures how late the leader is, and expires leases.
                 biased;
                 _ = ticks.tick() => self.tick(),
                 message = inbox.recv() => {
                     let Some(message) = message else { break };
                     self.enqueue(message);
                 }
-                // Calls, answers and renewals of the lead go on between two rounds.
+                // Lets calls, responses and renewals make progress between two rounds.
                 () = task::yield_now(), if has_more => {}
             }
             while let Ok(message) = inbox.try_recv() {
@@ -151,10 +154,11 @@
         self.node.leader_handle.borrow_mut().take();
         *self.node.relays.borrow_mut() = Relays::default();
         self.node.metrics.leadership_lost();
-        log::info!(epoch = self.epoch; "leads no more");
+        log::info!(epoch = self.epoch; "leadership ended");
         end.send_replace(true);
     }
 
+    /// Sorts a message into the queue of events or of requests.
     fn enqueue(&mut self, message: Message) {
         match message {
             Message::Ask(..) | Message::Inspect(..) => self.queue.push_request(message),
@@ -165,6 +169,7 @@
         }
     }
 
+    /// Passes a message to the leader, or acts on it here.
     fn handle(&mut self, message: Message) {
         let now = clock::now();
         match message {
@@ -180,7 +185,7 @@
                 self.leader.handle(Event::NotAppended, now);
             }
             Message::Inspect(inspect, operator) => {
-                // An operator that has left needs no answer.
+                // The operator may have disconnected.
                 let _disconnected = operator.send(self.inspect(inspect));
             }
             Message::Deposed => self.is_deposed = true,
@@ -192,6 +197,7 @@
         }
     }
 
+    /// Answers an operator's query as JSON.
     fn inspect(&self, inspect: Inspect) -> serde_json::Value {
         let now = clock::now();
         let value = match inspect {
@@ -201,7 +207,7 @@
         value.unwrap_or_else(|err| serde_json::json!({ "error": err.to_string() }))
     }
 
-    /// The state of the cell, with the instances that relay orders.
+    /// The state of the cell, including the relays.
     fn status(&self, now: Now) -> serde_json::Result<serde_json::Value> {
         let status = self.leader.status(now);
         let workers = status.workers.iter().map(|w| (w.name.as_str(), w.data_centre.as_str()));
@@ -211,6 +217,7 @@
         Ok(status)
     }
 
+    /// Handles a tick, and updates lanes, relays and metrics.
     fn tick(&mut self) {
         let now = clock::now();
         if now.steady_ms >= self.next_lanes_update_ms {
@@ -228,6 +235,7 @@
         self.node.metrics.record_counters(&tally);
     }
 
+    /// Chooses the relays from the instances that are present.
     fn review_relays(&self, now_ms: u64) {
         let settings = &self.node.settings;
         let capacity = LeaderCapacity { cpu_millis: settings.cpu_millis, link: settings.link.0 };
@@ -240,8 +248,8 @@
         self.node.relays.borrow_mut().review(capacity, candidates.collect(), now_ms);
     }
 
-    /// By which relay an order to a worker goes. Workers that have just not answered are called from here: it may be
-    /// the relay that does not reach them.
+    /// The relay for an order to a worker, or `None` to send it directly. Workers that failed to respond lately are
+    /// called directly, because it may be the relay that cannot reach them.
     fn relay_for(&self, worker: &WorkerName, payload_bytes: usize) -> orders::Route {
         let mut relays = self.node.relays.borrow_mut();
         relays.count_order(payload_bytes);
@@ -252,13 +260,14 @@
         relays.relay_for(worker, data_centre)
     }
 
-    /// Instances that can call for advice: this one, and those that greet it.
+    /// Instances that can make advice calls: this one, and those that send it heartbeats.
     fn lanes(&self, now_ms: u64) -> Vec<Lane> {
         let members = self.node.members.borrow();
         let peers = members.present(now_ms).map(|(address, _)| Lane(address.to_owned()));
         peers.chain([Lane(self.node.peer_address())]).collect()
     }
 
+    /// Executes the effects that the leader has requested.
     fn execute_effects(&mut self) {
         for effect in self.leader.finish(clock::now()) {
             self.execute_effect(effect);
@@ -269,7 +278,7 @@
         match effect {
             Effect::Reply { token, answer } => {
                 if let Some(caller) = self.responders.remove(&token) {
-                    // A caller that has left needs no answer.
+                    // The client may have disconnected.
                     let _disconnected = caller.send(answer);
                 }
             }
@@ -350,12 +359,13 @@
                 });
             }
             Effect::Deposed => {
-                log::info!(epoch = self.epoch; "a worker has heard of a later leader");
+                log::info!(epoch = self.epoch; "a worker reported a newer leader");
                 self.is_deposed = true;
             }
         }
     }
 
+    /// Stores records in the job log, and reports the result to the event loop.
     fn append(&mut self, records: Vec<Record>) {
         let calls = append::split(&records, self.node.settings.store_call_bytes);
         let first_sequence = self.next_sequence;
@@ -381,16 +391,17 @@
                     }
                 }
             }
-            // The loop has ended where nobody listens.
+            // The event loop may have ended.
             let _stopped = messages.send(message);
         });
     }
 
+    /// Runs `work` in a task, and passes its event to the event loop.
     fn spawn(&self, work: impl Future<Output = Event> + 'static) {
         let messages = self.messages.clone();
         task::spawn_local(async move {
             let event = work.await;
-            // The loop has ended where nobody listens.
+            // The event loop may have ended.
             let _stopped = messages.send(Message::Event(event));
         });
     }
--- a/lilacpass-node/src/lib.rs
+++ b/lilacpass-node/src/lib.rs
@@ -1,9 +1,8 @@
-//! One instance of lilacpass on the platform: takes callers' requests, and leads the cell or follows
-//! the instance that does.
+//! One instance of lilacpass on the platform. It accepts client requests, and either leads the cell or follows the
+//! instance that does.
 //!
-//! All work of an instance runs on one thread; lines of its log are written by another. Instances
-//! have a fraction of one processor, and each hand-over between threads would be a wake-up to pay
-//! for.
+//! All work runs on a single thread, except that another one writes the log. Instances have a fraction of one CPU core,
+//! and passing work between threads would cost additional wake-ups.
 
 pub mod append;
 pub mod budget;
@@ -47,7 +46,7 @@
     let settings = match settings::read() {
         Ok(settings) => settings,
         Err(err) => {
-            log::error!(error:% = err; "settings can't be read");
+            log::error!(error:% = err; "settings cannot be read");
             logging::flush();
             return ExitCode::FAILURE;
         }
@@ -55,7 +54,7 @@
     let runtime = match runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(err) => {
-            log::error!(error:% = err; "runtime can't be started");
+            log::error!(error:% = err; "runtime cannot be started");
             logging::flush();
             return ExitCode::FAILURE;
         }
@@ -70,16 +69,16 @@
     log::info!(
         instance = node.settings.instance.as_str(),
         data_centre = node.settings.data_centre.as_str();
-        "instance starts"
+        "instance started"
     );
     if let Err(err) = node.listen() {
-        log::error!(error:% = err; "addresses can't be listened on");
+        log::error!(error:% = err; "listening failed");
         return ExitCode::FAILURE;
     }
     tokio::task::spawn_local(desired_watch::run(node.clone()));
     tokio::task::spawn_local(desired_relay::run(node.clone()));
     tokio::task::spawn_local(election::run(node.clone()));
     signals::run(node).await;
-    log::info!("instance ends");
+    log::info!("instance stopped");
     ExitCode::SUCCESS
 }
--- a/lilacpass-node/src/node.rs
+++ b/lilacpass-node/src/node.rs
@@ -1,4 +1,4 @@
-//! What all parts of an instance share.
+//! State that is shared by all parts of an instance.
 
 use std::{
     cell::{Cell, RefCell},
@@ -32,92 +32,92 @@
     relays::Relays,
 };
 
-/// Who leads, as far as this instance knows.
+/// The current leader, as far as this instance knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaderView {
-    /// The epoch; 0 while no leader is known.
+    /// Epoch of the leader; 0 while no leader is known.
     pub epoch: u64,
-    /// Address for peers; none while no leader is known.
+    /// Address of the leader for peers; `None` while no leader is known.
     pub address: Option<String>,
 }
 
-/// A desired state as it was published.
+/// A desired state in decoded and in published form.
 #[derive(Debug)]
 pub struct Published {
-    /// Decoded.
+    /// The decoded desired state.
     pub desired: Desired,
-    /// As it stands in the store, to be handed to peers that the store does not answer.
+    /// Its encoding in the store, which is passed on to peers that cannot reach the store.
     pub bytes: Bytes,
 }
 
-/// What all parts of an instance share.
+/// State that is shared by all parts of an instance.
 pub struct Node {
-    /// What the platform says of this instance.
+    /// Settings that the platform provides to this instance.
     pub settings: Settings,
-    /// Connections to others.
+    /// HTTP client for calls to other services and instances.
     pub client: Client,
-    /// The store.
+    /// Client of the store.
     pub store: Store,
-    /// Orders to workers.
+    /// Client for orders to workers.
     pub workers: Workers,
-    /// How many orders may be sent again.
+    /// Limits how many orders are sent a second time.
     pub order_budget: RetryBudget,
-    /// The newest desired state that is known.
+    /// The newest desired state that this instance has.
     pub desired: RefCell<Option<Rc<Published>>>,
-    /// The newest version that another instance was heard to have.
+    /// The newest version of the desired state that another instance has reported.
     pub desired_source: RefCell<Option<DesiredSource>>,
-    /// Up to this version, what another instance has was fetched and can't be read here.
+    /// Highest version that was fetched from another instance and could not be decoded here; 0 if there is none.
     pub unreadable_desired_version: Cell<u64>,
-    /// Spaces out what goes to peers that ask for the desired state.
+    /// Limits the bandwidth spent on peers that request the desired state.
     pub desired_pacing: Pacing,
-    /// Who leads.
+    /// The current leader, as far as this instance knows.
     pub leader: watch::Sender<LeaderView>,
-    /// Our own leadership.
+    /// Handle to the leader loop while this instance leads.
     pub leader_handle: RefCell<Option<LeaderHandle>>,
-    /// When the leader last answered, on the steady clock.
+    /// Time of the last response of the leader, on the steady clock.
     pub last_leader_response_ms: Cell<u64>,
-    /// The last greeting to the leader was not answered.
+    /// Whether the last heartbeat to the leader failed.
     pub leader_unresponsive: Cell<bool>,
-    /// Neither the leader nor the store answers this instance: nobody can take over that it would hear
-    /// of soon.
+    /// Neither the leader nor the store responds, so that this instance would not learn of a new leader soon.
     pub cut_off: Cell<bool>,
-    /// What the platform was last told when it asked whether this instance takes callers.
+    /// Readiness that was last reported to the platform.
     pub reported_ready: Cell<bool>,
-    /// The leader said that the store answers it.
+    /// Whether the leader last reported that it can reach the store.
     pub leader_store_reachable: Cell<bool>,
-    /// When the store last answered, on the steady clock.
+    /// Time of the last response of the store, on the steady clock.
     pub last_store_response_ms: Cell<u64>,
-    /// Since when the store has refused calls without an answer between, on the steady clock.
+    /// Time since which the store has been refusing all calls, on the steady clock; `None` if it responded to the last
+    /// one.
     pub store_failing_since_ms: Cell<Option<u64>>,
-    /// How long the store takes for an append, as learned.
+    /// Estimated latency of an append to the store.
     pub append_latency: Cell<Duration>,
-    /// A take-over by this instance is under way.
+    /// Whether this instance is completing a take-over.
     pub taking_over: Cell<bool>,
-    /// The process is to stop.
+    /// Whether the process has been asked to stop.
     pub leaving: watch::Sender<bool>,
-    /// The instances that greet this one.
+    /// Instances that send heartbeats to this one.
     pub members: RefCell<Members>,
-    /// The most processor of any instance that could lead, as the leader said, in thousandths of a
-    /// core; 0 before it said so.
+    /// Largest CPU limit of any instance that could lead, as reported by the leader, in thousandths of a core; 0 before
+    /// the first report.
     pub max_cpu_millis: Cell<u32>,
-    /// The instances that the leader has told of.
+    /// Instances that the leader has listed.
     pub known_members: RefCell<KnownMembers>,
-    /// The instances that relay our orders, while this one leads.
+    /// Relays of this leadership; empty while this instance does not lead.
     pub relays: RefCell<Relays>,
-    /// What came of the leader's orders that this instance relays.
+    /// Outcomes of relayed orders that are yet to be sent to the leader.
     pub pending_outcomes: RefCell<PendingOutcomes>,
-    /// Requests of callers that are being served, and orders that are relayed.
+    /// Number of client requests and relayed orders in progress.
     pub open_requests: Cell<u64>,
-    /// Counters.
+    /// Metrics of this instance.
     pub metrics: Metrics,
 }
 
-/// The store counts as reachable for so long after its last answer. The watch for the desired state
-/// gets an answer at least every two seconds, renewals several a second.
+/// How long after its last response the leader considers the store reachable, in milliseconds. The watch for the
+/// desired state receives a response at least every two seconds, and renewals several a second.
 const STORE_REACHABLE_MS: u64 = 900;
 
 impl Node {
-    /// An instance that knows its settings only.
+    /// Creates an instance that knows only its settings.
     pub fn new(settings: Settings) -> Self {
         let client = Client::default();
         let store = Store::new(client.clone(), settings.store_address.clone());
@@ -158,7 +158,7 @@
         format!("{}:{}", self.settings.ip, self.settings.first_peer_port)
     }
 
-    /// Listens for callers, for the platform's question whether we are ready, and for peers.
+    /// Opens the listeners for clients, for readiness checks of the platform, for peers and for metrics.
     pub fn listen(self: &Rc<Self>) -> io::Result<()> {
         let peers = server::listen(parse(&self.peer_address())?)?;
         let ready = server::listen(parse(&self.settings.ready_address)?)?;
@@ -178,7 +178,7 @@
         Ok(())
     }
 
-    /// Serves the metrics. An instance whose metrics port is taken does its work without.
+    /// Serves the metrics. If the metrics port is taken, the instance runs without them.
     fn listen_for_metrics(self: &Rc<Self>) {
         let address = format!("{}:{}", self.settings.ip, metrics::PORT);
         match parse(&address).and_then(server::listen) {
@@ -190,12 +190,12 @@
                 };
                 tokio::task::spawn_local(server::serve(listener, Limits::default, handler));
             }
-            Err(err) => log::warn!(address, error:% = err; "metrics can't be served"),
+            Err(err) => log::warn!(address, error:% = err; "listening for metrics requests failed"),
         }
     }
 
-    /// The most processor of any instance that could lead: this one, and those that greet it and
-    /// reach the store. In thousandths of a core.
+    /// Largest CPU limit of any instance that could lead, in thousandths of a core: this one, and those that send it
+    /// heartbeats and reach the store.
     pub fn max_present_cpu_millis(&self, now_ms: u64) -> u32 {
         let members = self.members.borrow();
         let able = members.present(now_ms).filter(|(_, peer)| peer.store_reachable);
@@ -206,43 +206,43 @@
         self.desired.borrow().as_ref().map(|p| p.desired.limits).unwrap_or_default()
     }
 
-    /// The newest desired state that is known.
+    /// The newest desired state that this instance has.
     pub fn published(&self) -> Option<Rc<Published>> {
         self.desired.borrow().clone()
     }
 
-    /// Version of the newest desired state that is known; 0 where there is none.
+    /// Version of the newest desired state that this instance has; 0 if it has none.
     pub fn desired_version(&self) -> u64 {
         self.desired.borrow().as_ref().map_or(0, |published| published.desired.version)
     }
 
-    /// Takes a desired state in, unless a newer one is known.
+    /// Adopts a desired state, unless a version at least as new is known.
     pub fn publish(&self, desired: Desired, bytes: Bytes, source: &str) {
         if desired.version <= self.desired_version() {
             return;
         }
         log::info!(
             version = desired.version, queues = desired.queues.len(), bytes = bytes.len(), source;
-            "desired state"
+            "desired state adopted"
         );
         self.metrics.desired_version(desired.version);
         *self.desired.borrow_mut() = Some(Rc::new(Published { desired, bytes }));
     }
 
-    /// Notes which version another instance has. One that is not newer is never asked for, and greetings bring it several
-    /// times a second from each instance.
+    /// Records that another instance has a version of the desired state. Versions that are not newer than this
+    /// instance's own would never be requested, and heartbeats report them several times a second from each instance.
     pub fn record_desired_source(&self, version: u64, address: &str) {
         if version <= self.desired_version() {
             return;
         }
         let mut source = self.desired_source.borrow_mut();
-        // The last that was heard to have it is the likeliest to live.
+        // The instance that reported it last is the most likely to be alive.
         if source.as_ref().is_none_or(|known| known.version <= version) {
             *source = Some(DesiredSource { version, address: address.to_owned() });
         }
     }
 
-    /// A version that is newer than the one here, and may be readable.
+    /// The source of a version that is newer than this instance's own and not known to be unreadable.
     pub fn newer_desired_source(&self) -> Option<DesiredSource> {
         let tried_version = self.desired_version().max(self.unreadable_desired_version.get());
         self.desired_source.borrow().clone().filter(|known| known.version > tried_version)
@@ -253,29 +253,29 @@
         self.leader_handle.borrow().is_some()
     }
 
-    /// Takes in who leads, unless a later leader is known.
+    /// Adopts a leader, unless one with a newer epoch is known.
     pub fn follow(&self, epoch: u64, address: &str) {
         let known = self.leader.borrow().clone();
         if epoch < known.epoch || known.address.as_deref() == Some(address) && epoch == known.epoch
         {
             return;
         }
-        log::info!(epoch, leader = address; "leader known");
+        log::info!(epoch, leader = address; "following leader");
         self.last_leader_response_ms.set(clock::now().steady_ms);
         self.leader.send_replace(LeaderView { epoch, address: Some(address.to_owned()) });
     }
 
-    /// Notes that the store has answered.
+    /// Records a response of the store.
     pub fn record_store_response(&self) {
         self.cut_off.set(false);
         let now_ms = clock::now().steady_ms;
         self.last_store_response_ms.set(now_ms);
         if let Some(since_ms) = self.store_failing_since_ms.take() {
-            log::info!(failed_ms = now_ms.saturating_sub(since_ms); "store answers again");
+            log::info!(failed_ms = now_ms.saturating_sub(since_ms); "store accepts calls again");
         }
     }
 
-    /// Notes that the store has refused a call.
+    /// Records that the store has refused a call.
     pub fn record_store_refusal(&self) {
         if self.store_failing_since_ms.get().is_none() {
             log::info!("store refuses calls");
@@ -283,7 +283,8 @@
         }
     }
 
-    /// How long the store has refused everything, or has been silent for longer than it ever is.
+    /// How long the store has refused all calls, or has been unresponsive beyond [`STORE_REACHABLE_MS`], in
+    /// milliseconds; 0 if neither.
     pub fn store_failing_ms(&self) -> u64 {
         let now_ms = clock::now().steady_ms;
         if let Some(since_ms) = self.store_failing_since_ms.get() {
@@ -293,19 +294,19 @@
         if silent_ms > STORE_REACHABLE_MS { silent_ms } else { 0 }
     }
 
-    /// Whether the store has answered lately.
+    /// Whether the store has responded recently.
     pub fn store_reachable(&self) -> bool {
         let limit_ms = if self.leads() { STORE_REACHABLE_MS } else { FOLLOWER_STORE_REACHABLE_MS };
         clock::now().steady_ms.saturating_sub(self.last_store_response_ms.get()) < limit_ms
     }
 
-    /// Whether the process is to stop.
+    /// Whether the process has been asked to stop.
     pub fn is_leaving(&self) -> bool {
         *self.leaving.borrow()
     }
 }
 
-/// The same for an instance that does not lead: it hears from the store at least this often.
+/// As [`STORE_REACHABLE_MS`], for an instance that does not lead, and so calls the store less often.
 const FOLLOWER_STORE_REACHABLE_MS: u64 = 3_000;
 
 fn parse(address: &str) -> io::Result<SocketAddr> {
--- a/lilacpass-node/src/orders.rs
+++ b/lilacpass-node/src/orders.rs
@@ -1,8 +1,8 @@
-//! Orders to workers, sent again where the answer is late.
+//! Orders to workers, which are sent again if the response is late.
 //!
-//! An order that was lost, or that is carried out seconds later, costs its task over half a second
-//! until it is given up, made void and given to another worker. Both copies name the same run, and a
-//! worker carries out the first to arrive; the other is answered as done already.
+//! An order that is lost, or executed seconds late, delays its task by more than half a second until the run is
+//! abandoned, marked as never started, and assigned to another worker. Both copies name the same run. The worker
+//! executes the first one to arrive, and answers that the other has been done already.
 
 use std::{pin::pin, rc::Rc, time::Duration};
 
@@ -20,20 +20,20 @@
     relays::RelayResult,
 };
 
-/// The relay by which an order goes; none where it is sent from here.
+/// Address of the relay that forwards an order; `None` if the leader sends it directly.
 ///
-/// Calls from here stand in boxes of their own: they are large, and each order would else move room for
-/// two or three of them about, most of it never used.
+/// The futures of direct calls are boxed. They are large, and every order's future would otherwise reserve space for
+/// two or three of them, most of it unused.
 pub type Route = Option<Rc<str>>;
 
-/// An order is sent again after so long. Sound workers answer within 5 ms, and a busy leader handles
-/// the answer some tens of milliseconds later.
+/// Time without a response after which an order is sent again. Healthy workers respond within 5 ms, and a busy leader
+/// handles the response some tens of milliseconds later.
 const RESEND_DELAY: Duration = Duration::from_millis(100);
 
-/// Looks at a worker.
+/// Polls a worker.
 ///
-/// A look of which the relay tells nothing is made again from here, without a wait: the relay is gone, and its
-/// workers are not. One that the relay says the worker did not answer has failed.
+/// If the relay does not report an outcome, the worker is polled directly and without a wait, because the relay has
+/// failed rather than the worker. A poll that fails by the relay's own report has failed.
 pub async fn poll(
     node: &Rc<Node>,
     route: Route,
@@ -49,7 +49,7 @@
     let execution_timeout = Duration::from_millis(look.wait_ms + look.answer_ms);
     match relay_client::execute(node, &relay, order, execution_timeout).await {
         RelayResult::Outcome(Ok(Some(answer))) => Ok(answer),
-        // An answer to something else.
+        // The relay reported the outcome of some other order.
         RelayResult::Outcome(Ok(None)) => Err(CallError::Failed(Verdict::MayHaveRun)),
         RelayResult::Outcome(Err(err)) => {
             if matches!(err, CallError::Failed(_)) {
@@ -86,7 +86,7 @@
     send_order(node, route, order, || Box::pin(node.workers.stop(target, task, run))).await
 }
 
-/// Gives an order, by way of the relay if there is one, and from here if its answer is late.
+/// Sends an order through the relay, if there is one, and directly if the response is late.
 async fn send_order<F>(
     node: &Rc<Node>,
     route: Route,
@@ -101,7 +101,7 @@
     resend_if_late(&node.order_budget, first, &send).await
 }
 
-/// Has a relay carry an order out. One that surely was not is sent from here.
+/// Sends an order through a relay, or directly if the relay certainly did not execute it.
 async fn send_through_relay<F>(
     node: &Rc<Node>,
     relay: &Rc<str>,
@@ -120,8 +120,8 @@
     }
 }
 
-/// Sends an order, and again if its answer is late and the budget allows it. Returns the first answer
-/// that settles both.
+/// Sends an order, and sends it again if the response is late and the budget permits. Returns the first response that
+/// is conclusive for both copies.
 pub async fn send_with_retry<F>(budget: &RetryBudget, send: impl Fn() -> F) -> Result<(), CallError>
 where
     F: Future<Output = Result<(), CallError>>,
@@ -129,7 +129,7 @@
     resend_if_late(budget, send(), &send).await
 }
 
-/// The same where the first copy goes another way.
+/// As [`send_with_retry`], with a first copy that may take another route.
 async fn resend_if_late<F>(
     budget: &RetryBudget,
     first: impl Future<Output = Result<(), CallError>>,
@@ -158,9 +158,8 @@
     if is_conclusive(&other) { other } else { Err(CallError::Failed(Verdict::MayHaveRun)) }
 }
 
-/// Whether the answer to one copy tells what became of the other. A refusal for another reason does
-/// not: the other copy may come later, when the reason has gone, or may have come before and be the
-/// reason.
+/// Whether the response to one copy also settles the other. A refusal for another reason does not: the other copy may
+/// arrive later, when the reason no longer holds, or may have arrived earlier and be the reason.
 fn is_conclusive(answer: &Result<(), CallError>) -> bool {
     matches!(answer, Ok(()) | Err(CallError::OtherLife | CallError::Refused(Refusal::Fence)))
 }
--- a/lilacpass-node/src/peers.rs
+++ b/lilacpass-node/src/peers.rs
@@ -1,5 +1,5 @@
-//! What instances say to each other: greetings to the leader, callers' requests forwarded on to it, and
-//! calls for advice that it hands out.
+//! Messages between instances: heartbeats to the leader, client requests forwarded to it, advice calls that it
+//! delegates, and the orders and outcomes of relays.
 
 use std::{rc::Rc, time::Duration};
 
@@ -30,20 +30,20 @@
 const CONFIG_PATH: &str = "/peer/config";
 const ORDERS_PATH: &str = "/peer/orders";
 const OUTCOMES_PATH: &str = "/peer/outcomes";
-/// How many times what a message takes on an idle link it may take: others share the link.
+/// Messages may take this many times their transfer time on an idle link, because other traffic shares the link.
 const LINK_FACTOR: u32 = 3;
-/// Added to the time that a call for advice may take, for the way to the peer and back.
+/// Added to the timeout of an advice call for the round trip to the peer.
 const HOP_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Longest body that a peer may send: five hundred starts with the longest text that a job may have, and more.
+/// Maximum body of a message from a peer: room for 500 starts with the longest job payload.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// Bounds for what peers send.
+/// Limits on what peers may send.
 pub fn limits() -> Limits {
     Limits { idle_timeout_ms: 60_000, body_bytes: MAX_BODY_BYTES, ..Limits::default() }
 }
 
-/// Serves a peer.
+/// Handles a request of a peer or an operator.
 pub async fn serve(node: Rc<Node>, received: Received) -> Reply {
     let body = match received.path.as_str() {
         HELLO_PATH => {
@@ -79,13 +79,13 @@
     match body {
         Ok(body) => Reply::body(StatusCode::OK, Bytes::from(body)),
         Err(err) => {
-            log::info!(path = received.path.as_str(), error:% = err; "message of a peer is refused");
+            log::info!(path = received.path.as_str(), error:% = err; "rejecting a malformed message of a peer");
             Reply::error(StatusCode::BAD_REQUEST, &err.to_string())
         }
     }
 }
 
-/// The answer to a message of a leader, or to one: it is refused where another leads.
+/// The reply to a relay message, which is refused if it belongs to the epoch of another leader.
 fn acceptance_reply(is_accepted: bool) -> Reply {
     if is_accepted {
         return Reply::body(StatusCode::OK, Bytes::new());
@@ -108,7 +108,7 @@
     read_response(&node.client.call(&call).await?)
 }
 
-/// Sends a message that is answered with no_advice but whether it was taken.
+/// Sends a message whose response only reports whether it was accepted.
 async fn send(
     node: &Node,
     address: &str,
@@ -116,18 +116,19 @@
     message: &impl Message,
     timeout: Duration,
 ) -> Result<()> {
-    // A thin link takes its time for a long message, and one that is given up and sent again fills it for no_advice.
+    // A long message needs its transfer time on a thin link. Giving up early and sending it again would fill the link
+    // without any progress.
     let transfer_time = node.settings.link.time_for(size::Bytes(message.encoded_len() as u64));
     let call = build_call(address, path, message, timeout + transfer_time * LINK_FACTOR);
     let response = node.client.call(&call).await?;
     match response.status {
         StatusCode::OK => Ok(()),
-        // A receiver that does not take a message does no_advice of it.
+        // A receiver that does not accept a message takes no action on it.
         status => Err(Error::Busy(status.as_u16())),
     }
 }
 
-/// Has an instance carry out orders. Confirmed before they are.
+/// Sends orders to a relay, which confirms them before it executes them.
 pub async fn send_orders(
     node: &Node,
     address: &str,
@@ -137,7 +138,7 @@
     send(node, address, ORDERS_PATH, orders, timeout).await
 }
 
-/// Tells the leader what came of orders.
+/// Reports the outcomes of orders to the leader.
 pub async fn send_outcomes(
     node: &Node,
     address: &str,
@@ -147,7 +148,7 @@
     send(node, address, OUTCOMES_PATH, outcomes, timeout).await
 }
 
-/// Takes in what came of orders. Returns whether they were this leader's.
+/// Processes outcomes from a relay. Returns whether they belong to this leadership.
 fn handle_outcomes(node: &Node, message: v1::PeerOutcomes) -> bool {
     let mut relays = node.relays.borrow_mut();
     if !node.leads() || message.epoch != relays.epoch() {
@@ -155,7 +156,7 @@
     }
     let unknown = relays.handle_outcomes(message.outcomes);
     if unknown > 0 {
-        log::debug!(unknown; "outcomes that nobody waits for");
+        log::debug!(unknown; "received outcomes that are no longer awaited");
     }
     true
 }
@@ -177,8 +178,8 @@
     decode(&response.body)
 }
 
-/// Asks an instance for the desired state, if it has a newer one than `known_version`. `timeout` bounds the time
-/// until the answer begins, and each pause within it.
+/// Requests the desired state from an instance, if it has a newer version than `known_version`. `timeout` bounds the
+/// time until the response begins, and each pause within it.
 pub async fn fetch_desired(
     node: &Node,
     address: &str,
@@ -190,7 +191,7 @@
     read_response(&node.client.fetch(&call, timeout).await?)
 }
 
-/// Greets the leader, or one that may be it.
+/// Sends a heartbeat to the leader, or to an instance that may know it.
 pub async fn send_heartbeat(
     node: &Node,
     address: &str,
@@ -245,7 +246,7 @@
     }
 }
 
-/// Asks a peer to take over.
+/// Requests that a peer take over.
 pub async fn request_takeover(
     node: &Node,
     address: &str,
@@ -255,18 +256,18 @@
     post(node, address, PROMOTE_PATH, &former, timeout).await
 }
 
-/// What came of handing a request to the leader.
+/// Result of forwarding a request to the leader.
 #[derive(Debug)]
 pub enum Forwarded {
-    /// It answered.
+    /// The leader responded.
     Answered(Answer),
-    /// It does not lead, and has done no_advice.
+    /// The receiver does not lead and has not executed the request.
     NotLeading,
-    /// No answer; the verdict says whether it may have been done.
+    /// No response; the verdict says whether the request may have been executed.
     Failed(Verdict),
 }
 
-/// Hands a request to the leader.
+/// Forwards a request to the leader.
 pub async fn forward(node: &Node, address: &str, ask: &Ask, timeout: Duration) -> Forwarded {
     let message = encode_ask(ask);
     match post::<v1::PeerWorkReply>(node, address, WORK_PATH, &message, timeout).await {
@@ -329,7 +330,7 @@
     reply
 }
 
-/// The states of a job by their number on the wire.
+/// States of a job by their number on the wire.
 const STATES: [JobState; 5] = [
     JobState::Queued,
     JobState::Running,
@@ -385,7 +386,7 @@
     Forwarded::Answered(answer)
 }
 
-/// Obtains advice by way of a peer.
+/// Requests advice through a peer.
 pub async fn advise_through_peer(
     node: &Node,
     address: &str,
@@ -401,7 +402,7 @@
     let timeout = timeout + HOP_TIMEOUT;
     let reply: v1::PeerAdviseReply = post(node, address, ADVISE_PATH, &message, timeout)
         .await
-        .inspect_err(|err| log::debug!(step:% = step, error:% = err; "no advice by peer"))
+        .inspect_err(|err| log::debug!(step:% = step, error:% = err; "no advice through peer"))
         .ok()?;
     if !reply.answered {
         return None;
@@ -416,7 +417,7 @@
     })
 }
 
-/// Obtains advice ourselves.
+/// Requests advice directly from the advice service.
 pub async fn advise(
     node: &Node,
     step: StepName,
@@ -451,7 +452,7 @@
     }
 }
 
-/// A step is named as a task without its index.
+/// Parses the name of a step, which is the name of a task without its index.
 fn parse_step(text: &str) -> Option<StepName> {
     let task: lilacpass_jobs::TaskName = format!("{text}.0").parse().ok()?;
     Some(task.step)
--- a/lilacpass-node/src/relays.rs
+++ b/lilacpass-node/src/relays.rs
@@ -1,8 +1,9 @@
-//! The instances that relay the leader's orders, as the leader sees them: which worker's orders go by which, and what
-//! is under way.
+//! The leader's view of the instances that relay its orders: the assignment of workers to relays, and the orders in
+//! progress.
 //!
-//! Nothing rests on a relay. An order by way of one is an order that travels longer: it carries the leader's epoch, its
-//! lease ends at a time on the worker's clock, and one that is not answered counts as given, as any other.
+//! Correctness does not depend on relays. A relayed order is an order with a longer way: it carries the leader's epoch,
+//! its lease ends at a time on the worker's clock, and if it gets no response it counts as possibly executed, as any
+//! other order does.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -21,30 +22,31 @@
     relay_selection::{self, Candidate, LeaderCapacity, Load},
 };
 
-/// How long an instance relays nothing after it failed, and how often that is doubled where it goes on failing: one
-/// that takes orders and whose answers never arrive costs its workers over a second each time.
+/// How long an instance is not used as a relay after a failure, in milliseconds. The time doubles with each consecutive
+/// failure: a relay that accepts orders but whose outcomes never arrive costs its workers over a second each time.
 const BASE_COOLDOWN_MS: u64 = 3_000;
+/// How often the cooldown may double.
 const MAX_COOLDOWN_DOUBLINGS: u32 = 5;
-/// An instance that has carried out so many orders without being wrong has not failed before.
+/// Number of orders without a fault after which the earlier failures of an instance are forgotten.
 const RECOVERY_ORDERS: u32 = 50;
-/// Most orders in a message.
+/// Maximum number of orders in a message.
 const MAX_ORDERS_PER_MESSAGE: usize = 500;
-/// Bytes that a call takes beside its body: the heads of request and answer, and those of the packets.
+/// Bytes of a call in addition to its body: headers of request and response, and packet headers.
 const HEADER_BYTES: usize = 400;
-/// Weight of the last review in the load: half a second counts.
+/// Weight of the newest sample in the moving average of the load, which covers about half a second.
 const LOAD_WEIGHT: f64 = 0.4;
-/// So many orders of which a relay tells nothing, or whose worker it calls silent though that answers the leader, show
-/// that the relay is cut off itself...
+/// Number of faulty orders from which a relay is considered cut off itself. An order is faulty if the relay reports no
+/// outcome, or reports a worker as unresponsive that responds to the leader.
 const MIN_FAULTY_ORDERS: u32 = 4;
-/// ... if they are one in so many of the orders that it carried out.
+/// A relay is considered cut off only if at least one in this many of its completed orders was faulty.
 const MAX_ORDERS_PER_FAULT: u32 = 4;
 
-/// What came of an order by way of a relay.
+/// Result of an order sent through a relay.
 #[derive(Debug)]
 pub enum RelayResult {
-    /// The relay carried it out; of a look that was answered, the answer.
+    /// The relay executed the order; for a poll that succeeded, with the worker's response.
     Outcome(Result<Option<LookAnswer>, CallError>),
-    /// The relay told nothing of it.
+    /// The relay reported no outcome. The verdict says whether the order may have been executed.
     Lost(Verdict),
 }
 
@@ -54,12 +56,13 @@
     data_centre: String,
     queue: Vec<Order>,
     is_sending: bool,
-    /// Orders that it carried out of late, and those of which it told nothing or something wrong.
+    /// Recently completed orders, decaying with each review.
     completed: u32,
+    /// Recent faulty orders, as defined at [`MIN_FAULTY_ORDERS`], decaying with each review.
     faulty: u32,
 }
 
-/// An order under way.
+/// An order in progress.
 #[derive(Debug)]
 struct Pending {
     relay: Rc<str>,
@@ -68,7 +71,7 @@
 
 impl Pending {
     fn deliver(self, result: RelayResult) {
-        // Who does not wait any more needs no telling.
+        // The waiting task may have been cancelled.
         let _dropped = self.waiter.send(result);
     }
 }
@@ -79,13 +82,13 @@
     epoch: u64,
     next_number: u64,
     relays: BTreeMap<Rc<str>, Relay>,
-    /// By number, also those of relays that are used no more and may still tell what came of them.
+    /// Orders in progress by number, including those of retired relays, which may still report outcomes.
     pending: HashMap<u64, Pending>,
-    /// Until when instances relay nothing.
+    /// Times until which instances are not used as relays, by address.
     cooldowns: HashMap<String, u64>,
-    /// How often instances have failed in a row.
+    /// Number of consecutive failures of instances, by address.
     consecutive_failures: HashMap<String, u32>,
-    /// Workers that a relay called silent, until the leader has looked itself.
+    /// Workers that a relay has reported as unresponsive and that the leader has not polled directly since.
     suspected_workers: HashMap<WorkerName, Rc<str>>,
     orders: u64,
     bytes: u64,
@@ -94,24 +97,24 @@
 }
 
 impl Relays {
-    /// No relay, for a leader under an epoch.
+    /// No relays, for a leader under an epoch.
     pub fn new(epoch: u64, now_ms: u64) -> Self {
         Self { epoch, reviewed_ms: now_ms, ..Self::default() }
     }
 
-    /// Counts an order, whoever sends it.
+    /// Adds an order to the load, regardless of who sends it.
     pub fn count_order(&mut self, payload_bytes: usize) {
         self.orders += 1;
         self.bytes += (HEADER_BYTES + payload_bytes) as u64;
     }
 
-    /// Whether the leader sends all orders itself.
+    /// Whether the leader sends all orders directly.
     pub fn is_empty(&self) -> bool {
         self.relays.is_empty()
     }
 
-    /// By which relay the orders to a worker go: one of its data centre, else any; none where the leader sends them itself.
-    /// Each worker goes by the one that weighs most for it, so that only the workers of a relay that goes change theirs.
+    /// The relay for orders to a worker: one of its data centre if there is one, else any; `None` if the leader sends
+    /// orders directly. Rendezvous hashing assigns workers to relays, so that only the workers of a retired relay move.
     pub fn relay_for(&self, worker: &WorkerName, data_centre: &str) -> Option<Rc<str>> {
         let weight = |address: &&Rc<str>| rendezvous::weight(worker.as_str().as_bytes(), address);
         let local = self.relays.iter().filter(|(_, relay)| relay.data_centre == data_centre);
@@ -119,7 +122,7 @@
         local.or_else(|| self.relays.keys().max_by_key(weight)).cloned()
     }
 
-    /// Chooses the relays anew by what was ordered since the last time.
+    /// Chooses the relays again, based on the load since the last review.
     pub fn review(
         &mut self,
         capacity: LeaderCapacity,
@@ -140,7 +143,7 @@
         log::info!(
             relays = addresses.join(" "), orders_a_second = self.load.orders as u64,
             bytes_a_second = self.load.bytes as u64;
-            "relays change"
+            "relays changed"
         );
         for address in in_use.iter().filter(|address| !addresses.contains(&address.as_str())) {
             self.retire(address);
@@ -156,6 +159,7 @@
         }
     }
 
+    /// Adds the orders since the last review to the moving average of the load.
     fn update_load(&mut self, now_ms: u64) {
         let elapsed_s = now_ms.saturating_sub(self.reviewed_ms).max(1) as f64 / 1_000.0;
         self.reviewed_ms = now_ms;
@@ -165,15 +169,15 @@
         self.load.bytes += (bytes - self.load.bytes) * LOAD_WEIGHT;
     }
 
-    /// Rests relays that are cut off from their workers, or whose answers do not arrive: each of their workers would seem
-    /// to be gone.
+    /// Stops using relays that are cut off from their workers, or whose outcomes do not arrive. All of their workers
+    /// would seem to be lost.
     fn cool_down_faulty(&mut self, now_ms: u64) {
         let mut faulty = Vec::new();
         for (address, relay) in &mut self.relays {
             if relay.faulty >= MIN_FAULTY_ORDERS
                 && relay.faulty * MAX_ORDERS_PER_FAULT >= relay.completed
             {
-                log::info!(relay = &**address, wrong = relay.faulty, done = relay.completed; "relay does not reach its workers");
+                log::info!(relay = &**address, wrong = relay.faulty, done = relay.completed; "relay is cut off from its workers");
                 faulty.push(address.clone());
             } else if relay.faulty == 0 && relay.completed >= RECOVERY_ORDERS {
                 self.consecutive_failures.remove(&**address);
@@ -184,6 +188,7 @@
         faulty.iter().for_each(|address| self.cool_down(address, now_ms));
     }
 
+    /// Bars an instance from relaying for a time that doubles with each consecutive failure.
     fn cool_down(&mut self, address: &str, now_ms: u64) {
         let failures = self.consecutive_failures.entry(address.to_owned()).or_default();
         let cooldown_ms = BASE_COOLDOWN_MS << (*failures).min(MAX_COOLDOWN_DOUBLINGS);
@@ -191,14 +196,16 @@
         self.cooldowns.insert(address.to_owned(), now_ms + cooldown_ms);
     }
 
-    /// Uses a relay no more that is to stop, or is not needed. What it has taken it finishes.
+    /// Stops using a relay that is about to stop or no longer needed. It completes the orders that it has accepted;
+    /// unsent ones are reported as not run.
     fn retire(&mut self, address: &str) {
         let Some(relay) = self.relays.remove(address) else { return };
         let unsent: Vec<u64> = relay.queue.iter().map(|order| order.message.number).collect();
         self.report_lost(&unsent, Verdict::NotRun);
     }
 
-    /// A relay has not taken a message with these orders. What else it has taken is lost.
+    /// Handles a relay that did not accept a message with the orders `numbers`. All other orders that it has accepted
+    /// are lost as well.
     pub fn fail(&mut self, address: &str, numbers: &[u64], verdict: Verdict, now_ms: u64) {
         self.cool_down(address, now_ms);
         self.report_lost(numbers, verdict);
@@ -209,15 +216,15 @@
         self.report_lost(&others, Verdict::MayHaveRun);
     }
 
-    /// Tells those who wait for these orders that the relay tells nothing of them.
+    /// Reports to the waiting tasks that the relay will report no outcome for these orders.
     fn report_lost(&mut self, numbers: &[u64], verdict: Verdict) {
         for pending in numbers.iter().filter_map(|number| self.pending.remove(number)) {
             pending.deliver(RelayResult::Lost(verdict));
         }
     }
 
-    /// Puts an order into the queue of a relay. Returns its number, and where what comes of it is told; none where there
-    /// is no such relay any more.
+    /// Adds an order to the queue of a relay. Returns its number and the receiver of its result, or `None` if the relay
+    /// is no longer in use.
     pub fn enqueue(
         &mut self,
         address: &Rc<str>,
@@ -233,13 +240,14 @@
         Some((number, receiver))
     }
 
-    /// Whether a task that sends the queue of a relay has to be started.
+    /// Marks the queue of a relay as being sent. Returns whether the caller has to start a sending task.
     pub fn begin_sending(&mut self, address: &str) -> bool {
         let Some(relay) = self.relays.get_mut(address) else { return false };
         !std::mem::replace(&mut relay.is_sending, true)
     }
 
-    /// Takes what is to be sent to a relay. None where there is nothing, after which sending has to be started anew.
+    /// Takes the next batch of orders for a relay. Returns `None` if there are none, after which sending has to be
+    /// started again.
     pub fn take_batch(&mut self, address: &str) -> Option<Vec<Order>> {
         let relay = self.relays.get_mut(address)?;
         if relay.queue.is_empty() {
@@ -250,7 +258,7 @@
         Some(std::mem::replace(&mut relay.queue, rest))
     }
 
-    /// A relay has told nothing of an order, and nobody waits for it any more.
+    /// Records that a relay reported no outcome for an order in time.
     pub fn record_timeout(&mut self, number: u64) {
         let Some(pending) = self.pending.remove(&number) else { return };
         if let Some(relay) = self.relays.get_mut(&pending.relay) {
@@ -258,7 +266,7 @@
         }
     }
 
-    /// Takes in outcomes that a relay tells. Returns how many of them nobody waits for.
+    /// Handles outcomes that a relay reports. Returns how many of them are no longer awaited.
     pub fn handle_outcomes(&mut self, outcomes: Vec<v1::RelayedOutcome>) -> usize {
         let mut unknown = 0;
         for outcome in outcomes {
@@ -274,17 +282,17 @@
         unknown
     }
 
-    /// The epoch under which orders go out.
+    /// The epoch under which orders are sent.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// A relay has called a worker silent.
+    /// Records that a relay has reported a worker as unresponsive.
     pub fn suspect_worker(&mut self, worker: &WorkerName, relay: &Rc<str>) {
         self.suspected_workers.insert(worker.clone(), relay.clone());
     }
 
-    /// The leader has looked at a worker itself.
+    /// Records that the leader has polled a worker directly. A response proves the report of the relay wrong.
     pub fn record_direct_poll(&mut self, worker: &WorkerName, succeeded: bool) {
         if self.suspected_workers.is_empty() {
             return;
@@ -297,8 +305,8 @@
         }
     }
 
-    /// What operators are told of each relay: how many of `workers`, with their data centres, go by it, how many orders are
-    /// under way, and how many were lost or wrong of late.
+    /// The relays as shown to operators: for each, how many of `workers`, given with their data centres, are assigned
+    /// to it, how many orders are in progress, and how many were faulty lately.
     pub fn status<'a>(&self, workers: impl Iterator<Item = (&'a str, &'a str)>) -> Value {
         let mut worker_counts: HashMap<Rc<str>, u64> = HashMap::new();
         for (worker, data_centre) in workers {
--- a/lilacpass-node/src/takeover.rs
+++ b/lilacpass-node/src/takeover.rs
@@ -1,4 +1,4 @@
-//! Taking over: reads all jobs, then closes the log to the former leader.
+//! Take-over: reads all jobs, then fences the former leader off from the log.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -14,23 +14,23 @@
 
 /// Key of the record that names the leader.
 pub const LEAD_KEY: &str = "lead";
-/// How long the store may take for one call of a take-over. Its slowest answers take 0.6 s.
+/// Timeout of one store call during a take-over. The store's slowest responses take 0.6 s.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// How long calls of a take-over may go on failing, without an answer between, before it is given up.
-/// Meanwhile this instance does not notice that another has taken over.
+/// How long calls of a take-over may keep failing without a response before it is abandoned. Until then this instance
+/// does not notice that another one has taken over.
 const MAX_FAILURE_TIME: Duration = Duration::from_secs(2);
-/// Pause before a call that failed is made again.
+/// Pause before a failed call is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
-/// What a take-over has won.
+/// Result of a successful take-over.
 #[derive(Debug)]
 pub struct NewLeadership {
-    /// The new epoch.
+    /// Epoch of the new leadership.
     pub epoch: u64,
-    /// Number of the append that closed the log; those of the leader follow it. The first renewal in the
-    /// partition of the leader has the same number.
+    /// Sequence number of the append that fenced the log; the leader's appends continue from it. The first renewal in
+    /// the leader partition uses the same number.
     pub sequence: u64,
-    /// All jobs.
+    /// All jobs, as read from the log.
     pub jobs: Vec<Job>,
 }
 
@@ -39,12 +39,12 @@
     Partition::of_cell("jobs", 0)
 }
 
-/// The partition in which leaders make themselves known.
+/// The partition that holds the leader records and the announcements of take-overs.
 pub fn lead_partition() -> Partition {
     Partition::of_cell("lead", 0)
 }
 
-/// The record by which this instance makes itself known as the leader.
+/// The record that announces this instance as the leader.
 pub fn lead_record(node: &Node, epoch: u64, renewal: u64) -> Record {
     let lead = v1::LeadRecord {
         epoch,
@@ -55,7 +55,7 @@
     Record { key: LEAD_KEY.to_owned(), value: lead.encode_to_vec() }
 }
 
-/// All jobs as they were read, up to a place in the log.
+/// All jobs up to an offset of the log.
 #[derive(Debug)]
 pub struct Snapshot {
     records: JobRecords,
@@ -63,10 +63,10 @@
     start: Instant,
 }
 
-/// Reads all jobs. None where the store does not let us.
+/// Reads all jobs. Returns `None` if the store keeps failing.
 ///
-/// Changes nothing, so it goes on beside the announcement of a take-over: a slow store takes 0.7 s for that,
-/// and as long again for this.
+/// Reading changes nothing, so it runs concurrently with the announcement of the take-over. A slow store takes 0.7 s
+/// for each of the two.
 pub async fn read_snapshot(node: &Rc<Node>) -> Option<Snapshot> {
     let start = Instant::now();
     let mut records = JobRecords::default();
@@ -75,14 +75,14 @@
     Some(Snapshot { records, end, start })
 }
 
-/// Tries to take over with what was read. None where another was faster or the store does not let us.
+/// Completes a take-over from a snapshot. Returns `None` if another instance was faster or the store keeps failing.
 pub async fn complete(node: &Rc<Node>, snapshot: Snapshot) -> Option<NewLeadership> {
     let Snapshot { mut records, mut end, start } = snapshot;
     let partition = jobs_partition();
     let sequence = random_first_sequence();
     let mut retries = RetryWindow::new(Instant::now());
     loop {
-        // Offsets never go back, so an epoch made of the end is above all earlier ones.
+        // Offsets never decrease, so an epoch derived from the end of the log is higher than all earlier ones.
         let epoch = end + 1;
         let writer = Writer { epoch, sequence };
         match append_leader_record(node, &partition, end, writer, &mut retries).await? {
@@ -103,19 +103,18 @@
     }
 }
 
-/// A number for the first append under a new epoch, at random.
+/// A random sequence number for the first append under a new epoch.
 ///
-/// Two instances that read to the same end choose the same epoch. If their first appends had the
-/// same number too, the store would take the second for a repetition of the first and tell both
-/// that they had won: both would lead, and start each task twice. With unlike numbers the second
-/// is refused.
+/// Two instances that read up to the same end choose the same epoch. If their first appends also had the same sequence
+/// number, the store would treat the second as a repetition of the first and confirm it to both. Both instances would
+/// then lead, and start each task twice. With different numbers the second append is rejected.
 fn random_first_sequence() -> u64 {
     const MAX: u64 = 1 << 40;
     rand::rng().random_range(0..MAX)
 }
 
-/// Appends the record after which the store refuses all of the former leader. Only if the partition
-/// still ends where we have read to, so that nothing of its records is missed.
+/// Appends the record after which the store rejects all appends of the former leader. The append succeeds only if the
+/// partition still ends at `end`, so that none of the former leader's records is missed.
 async fn append_leader_record(
     node: &Rc<Node>,
     partition: &Partition,
@@ -136,10 +135,11 @@
     }
 }
 
-/// Calls that have failed since the last that was last_response.
+/// Tracks how long store calls have been failing without a response in between.
 ///
-/// Counted from the beginning of a take-over, a single refusal late in a long reading threw away all that was
-/// read. An instance with a thin link, which needs longer than the patience for it, never got to its end.
+/// When the time was counted from the start of the take-over instead, a single failure late in a long read discarded
+/// everything read so far. An instance with a thin link, which needs longer than [`MAX_FAILURE_TIME`] to read all jobs,
+/// never finished.
 struct RetryWindow {
     last_response: Instant,
     failing_since: Option<Instant>,
@@ -150,20 +150,20 @@
         Self { last_response: started, failing_since: None }
     }
 
-    /// A call was last_response.
+    /// Starts over after a successful call.
     fn record_success(&mut self) {
         *self = Self::new(Instant::now());
     }
 
-    /// A call has failed: waits before the next. None where they have been failing for too long.
+    /// Pauses after a failed call. Returns `None` if calls have been failing for longer than [`MAX_FAILURE_TIME`].
     async fn wait_before_retry(
         &mut self,
         what: &str,
         err: &lilacpass_platform::Error,
     ) -> Option<()> {
-        log::info!(what, error:% = err; "store call of a take-over failed");
+        log::info!(what, error:% = err; "store call during a take-over failed");
         let now = Instant::now();
-        // Of a long answer that broke off, what arrived before counts for no failure.
+        // A long response that breaks off was arriving until then, so at most one call timeout counts as failing.
         let earliest = now.checked_sub(CALL_TIMEOUT).unwrap_or(self.last_response);
         let failing_since = *self.failing_since.get_or_insert(earliest.max(self.last_response));
         if now - failing_since > MAX_FAILURE_TIME {
@@ -174,7 +174,7 @@
     }
 }
 
-/// Records of jobs as they are read.
+/// Newest job records by key, with their offsets.
 #[derive(Debug, Default)]
 struct JobRecords {
     plans: HashMap<JobKey, (u64, Vec<u8>)>,
@@ -195,7 +195,7 @@
             Some(record::Key::Plan(key)) => (&mut self.plans, key),
             Some(record::Key::State(key)) => (&mut self.states, key),
             None => {
-                log::warn!(key = read.key.as_str(), offset; "record is passed over");
+                log::warn!(key = read.key.as_str(), offset; "ignoring a record with an unknown key");
                 return;
             }
         };
@@ -214,15 +214,17 @@
             let state = self.states.get(key).map(|(_, state)| state.as_slice());
             match record::decode(*key, plan, state) {
                 Ok(job) => jobs.push(job),
-                Err(err) => log::error!(job:% = key, error:% = err; "job is passed over"),
+                Err(err) => {
+                    log::error!(job:% = key, error:% = err; "ignoring a job that cannot be decoded")
+                }
             }
         }
         jobs
     }
 }
 
-/// Reads the newest record of each key. Returns where the partition ended at the first page, since
-/// pages are no snapshot: what came later is read from there on.
+/// Reads the newest record of each key. Pages are not a consistent snapshot, so this returns where the partition ended
+/// at the first page; later records are read from there.
 async fn read_all(
     node: &Rc<Node>,
     partition: &Partition,
@@ -249,7 +251,7 @@
     }
 }
 
-/// Reads from `from` to the end. Returns the end.
+/// Reads from `from` to the end of the partition, and returns that end.
 async fn read_tail(
     node: &Rc<Node>,
     partition: &Partition,
