--- a/lilacpass-node/src/bin/lilacpass-cell.rs
+++ b/lilacpass-node/src/bin/lilacpass-cell.rs
@@ -1,5 +1,5 @@
-//! Asks instances of lilacpass on the platform: their state, the state of the cell, and what became
-//! of a job, live or from log files.
+//! Queries instances of lilacpass on the platform: the state of an instance, the state of the cell, and the history of
+//! a job, from a running instance or from log files.
 
 use std::{path::PathBuf, process::ExitCode, time::Duration};
 
@@ -13,10 +13,10 @@
 use serde_json::Value;
 use tokio::{runtime, task::LocalSet};
 
-/// How long an instance may take to answer.
+/// Timeout for the response of an instance.
 const TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Asks instances of lilacpass on the platform.
+/// Queries instances of lilacpass on the platform.
 #[derive(Parser)]
 #[command(version)]
 struct Args {
@@ -50,20 +50,20 @@
 }
 
 quick_error! {
-    /// Why there is no answer.
+    /// Why a query failed.
     #[derive(Debug)]
     enum Error {
-        /// The instance does not answer.
+        /// The instance does not respond.
         Call(err: lilacpass_platform::Error) {
             from()
             display("no answer: {err}")
         }
-        /// Files can't be read, or the runtime can't be started.
+        /// Files cannot be read, or the runtime cannot be started.
         Io(err: std::io::Error) {
             from()
             display("{err}")
         }
-        /// The instance refuses.
+        /// The instance refused the query.
         Refused(reason: String) {
             display("{reason}")
         }
@@ -101,7 +101,7 @@
     }
 }
 
-/// Asks an instance, and where it does not lead the one that it names.
+/// Queries an instance, and if it does not lead, the leader that it names.
 fn ask(address: &str, path: &str) -> Result<String, Error> {
     let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
--- a/lilacpass-node/src/frontend.rs
+++ b/lilacpass-node/src/frontend.rs
@@ -152,7 +152,6 @@
         }
         let own = node.leader_handle.borrow().clone();
         let address = node.leader.borrow().address.clone();
-        // A leader that has been replaced will not respond any more.
         let forwarded = async {
             match (own, address) {
                 (Some(lead), _) => match lead.ask(ask.clone()).await {
@@ -165,7 +164,7 @@
                 (None, _) => Forwarded::NotLeading,
             }
         };
-        // A leader that is replaced will not answer any more.
+        // A leader that has been replaced will not respond any more.
         let forwarded = tokio::select! {
             forwarded = forwarded => forwarded,
             _ = changes.changed() => Forwarded::Failed(Verdict::MayHaveRun),
--- a/lilacpass-node/src/handover.rs
+++ b/lilacpass-node/src/handover.rs
@@ -1,8 +1,8 @@
-//! Hands the lead over: to an instance that the store answers where it fails the leader, to a larger
-//! one where the leader is small, and to any before a planned stop.
+//! Hands leadership over: to an instance that can reach the store when this one cannot, to a larger instance when this
+//! one is small, and to any instance before a planned stop.
 //!
-//! A store that turns the leader away but serves others would otherwise stop the cell until its
-//! followers notice. The leader notices first, and asks one of them to take over.
+//! A store that rejects the leader's calls but serves other instances would otherwise stop the cell until the followers
+//! notice. The leader notices first, and requests that one of them take over.
 
 use std::{cmp::Reverse, collections::BTreeSet, rc::Rc, time::Duration};
 
@@ -11,30 +11,30 @@
 
 use crate::{clock, leader_handle::Message, members::Peer, node::Node, peers};
 
-/// How long the store must have refused all calls before the lead is handed over. Single refusals
-/// pass sooner.
+/// How long the store must have refused all calls before leadership is handed over, in milliseconds. Isolated refusals
+/// are over sooner.
 const MIN_STORE_FAILURE_MS: u64 = 350;
-/// Time between looks at that, and so between peers that are asked.
+/// Interval between checks of the store, and so between requests to peers.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
-/// How long a peer may take over: reading all jobs takes some tenths of a second.
+/// How long a peer may need to take over. Reading all jobs takes some tenths of a second.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long a small leader leads before it looks for a larger instance: by then all have greeted it,
-/// three times.
+/// How long a small leader leads before it looks for a larger instance, in milliseconds. By then all instances have
+/// sent it three heartbeats.
 const SETTLE_MS: u64 = 600;
-/// Pause before the next larger instance is asked. Each hand-over stops the cell for some tenths of a
+/// Pause before a larger instance is asked again, in milliseconds. Each hand-over stops the cell for some tenths of a
 /// second.
 const LARGER_RETRY_MS: u64 = 2_000;
 
-/// The hand-over of one leader.
+/// The hand-over of one leadership.
 struct Handover {
     node: Rc<Node>,
     epoch: u64,
     messages: mpsc::UnboundedSender<Message>,
-    /// Peers that did not take over when they were asked; asked again once all have been.
+    /// Peers that did not take over when asked. They are asked again once all peers have been.
     asked: BTreeSet<String>,
 }
 
-/// Hands over whenever the store fails or a larger instance could lead, as long as this one leads.
+/// Hands over when the store fails or a larger instance could lead, for as long as this instance leads.
 pub async fn run(node: Rc<Node>, epoch: u64, messages: mpsc::UnboundedSender<Message>) {
     let mut handover = Handover::new(node, epoch, messages);
     let mut next_larger_check_ms = clock::now().steady_ms + SETTLE_MS;
@@ -56,8 +56,8 @@
     }
 }
 
-/// Hands over before a planned stop: asks one peer after the other until one has taken over. The
-/// leader leads on meanwhile, also where the store is too slow for a hand-over just now.
+/// Hands over before a planned stop: asks one peer after the other until one has taken over. The leader goes on leading
+/// meanwhile, even where the store is too slow for a hand-over.
 pub async fn resign(node: Rc<Node>, epoch: u64, messages: mpsc::UnboundedSender<Message>) {
     let mut handover = Handover::new(node, epoch, messages);
     while !handover.messages.is_closed() && !handover.ask_any().await {
@@ -70,12 +70,12 @@
         Self { node, epoch, messages, asked: BTreeSet::new() }
     }
 
-    /// Asks a peer to take over, the largest first. Returns whether it did.
+    /// Asks the most suitable peer to take over. Returns whether it did.
     async fn ask_any(&mut self) -> bool {
         self.ask_peer_with(0).await
     }
 
-    /// Asks a peer with so much processor or more.
+    /// Asks a peer with at least this CPU limit, in thousandths of a core.
     async fn ask_peer_with(&mut self, min_cpu_millis: u32) -> bool {
         let Some(address) = self.choose_peer(min_cpu_millis) else {
             self.asked.clear();
@@ -91,12 +91,12 @@
         if self.node.is_leaving() || self.node.max_present_cpu_millis(now_ms) <= own_cpu_millis {
             return false;
         }
-        log::info!(own_cpu_millis; "a larger instance is to lead");
+        log::info!(own_cpu_millis; "handing over to a larger instance");
         self.ask_peer_with(own_cpu_millis + 1).await
     }
 
-    /// A peer that lives and stays: one that reaches the store before others, a large one before
-    /// small ones, any of those that are alike.
+    /// A peer that is alive and not about to stop. Peers that reach the store are preferred to others, then large ones
+    /// to small ones; equal ones are chosen at random.
     fn choose_peer(&self, min_cpu_millis: u32) -> Option<String> {
         let now_ms = clock::now().steady_ms;
         let members = self.node.members.borrow();
@@ -113,18 +113,18 @@
     async fn request_takeover(&self, address: &str) -> bool {
         match peers::request_takeover(&self.node, address, TAKEOVER_TIMEOUT).await {
             Ok(reply) if reply.leads && reply.epoch > self.epoch => {
-                log::info!(peer = address, epoch = reply.epoch; "lead handed over");
+                log::info!(peer = address, epoch = reply.epoch; "leadership handed over");
                 self.node.follow(reply.epoch, address);
-                // The loop has ended where nobody listens.
+                // The leader loop may have ended.
                 let _stopped = self.messages.send(Message::Deposed);
                 true
             }
             Ok(_) => {
-                log::info!(peer = address; "peer does not take over");
+                log::info!(peer = address; "peer did not take over");
                 false
             }
             Err(err) => {
-                log::info!(peer = address, error:% = err; "peer does not take over");
+                log::info!(peer = address, error:% = err; "peer did not take over");
                 false
             }
         }
--- a/lilacpass-node/src/leader_handle.rs
+++ b/lilacpass-node/src/leader_handle.rs
@@ -1,4 +1,4 @@
-//! The way to the leader within its own instance, and what it is told on it.
+//! Handle to the leader loop within its own instance, and the messages that it accepts.
 
 use lilacpass_jobs::JobKey;
 use lilacpass_lead::{
@@ -9,36 +9,36 @@
 
 use crate::node::Node;
 
-/// What is told to the loop of the leader.
+/// A message to the leader loop.
 #[derive(Debug)]
 pub enum Message {
-    /// Something happened.
+    /// An event for the leader's state machine.
     Event(Event),
-    /// A caller asks.
+    /// A client's request, with the channel for the response.
     Ask(Ask, oneshot::Sender<Answer>),
-    /// The store has surely done nothing of the append under way.
+    /// The store has certainly not stored the append in progress.
     NotAppended {
-        /// Number of the next append.
+        /// Sequence number of the next append.
         next_sequence: u64,
     },
-    /// An operator asks.
+    /// An operator's query, with the channel for the response.
     Inspect(Inspect, oneshot::Sender<serde_json::Value>),
-    /// Another leads.
+    /// Another instance leads.
     Deposed,
-    /// Hand the lead over, and lead on until that is done.
+    /// Hand leadership over, and continue to lead until that is done.
     Resign,
 }
 
-/// What an operator asks.
+/// A query of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Inspect {
     /// The state of the cell.
     Status,
-    /// Why a job is where it is.
+    /// Why a job is in its current state.
     Job(JobKey),
 }
 
-/// The way to the leader within its own instance.
+/// Handle to the leader loop within its own instance.
 #[derive(Clone)]
 pub struct LeaderHandle {
     messages: mpsc::UnboundedSender<Message>,
@@ -46,28 +46,29 @@
 }
 
 impl LeaderHandle {
-    /// A way to a leader that takes `messages`, and that sets `ended` when it leads no more.
+    /// Creates a handle to a leader loop that receives `messages`, and sets `ended` when it stops leading.
     pub fn new(messages: mpsc::UnboundedSender<Message>, ended: watch::Receiver<bool>) -> Self {
         Self { messages, ended }
     }
 
-    /// Asks the leader. None where it ended before it answered: it may have done what was asked.
+    /// Sends a request to the leader. Returns `None` if the leader loop ended before it responded; the request may have
+    /// been executed.
     pub async fn ask(&self, ask: Ask) -> Option<Answer> {
         let (sender, receiver) = oneshot::channel();
         self.messages.send(Message::Ask(ask, sender)).ok()?;
         receiver.await.ok()
     }
 
-    /// Tells an operator. None where the leader ended before it answered.
+    /// Answers an operator's query. Returns `None` if the leader loop ended before it responded.
     pub async fn inspect(&self, inspect: Inspect) -> Option<serde_json::Value> {
         let (sender, receiver) = oneshot::channel();
         self.messages.send(Message::Inspect(inspect, sender)).ok()?;
         receiver.await.ok()
     }
 
-    /// Has the leader hand over.
+    /// Requests that the leader hand over.
     pub fn resign(&self) {
-        // A leader that has ended needs no telling.
+        // The leader loop may have ended already.
         let _stopped = self.messages.send(Message::Resign);
     }
 }
@@ -75,6 +76,6 @@
 /// Waits until this instance does not lead any more.
 pub async fn wait_until_ended(node: &Node) {
     let Some(mut lead) = node.leader_handle.borrow().clone() else { return };
-    // The sender is dropped when the loop ends, which is what is waited for.
+    // The wait also ends when the leader loop drops its sender.
     let _dropped = lead.ended.wait_for(|ended| *ended).await;
 }
--- a/lilacpass-node/src/logging.rs
+++ b/lilacpass-node/src/logging.rs
@@ -1,7 +1,7 @@
-//! Log lines, written to standard output by a thread of their own.
+//! Log output, written to standard output by a separate thread.
 //!
-//! Whoever logs never waits: lines go into a bounded buffer, and what finds it full is dropped and
-//! counted. A reader that stops reading the output can't stop the instance that way.
+//! Logging never blocks: lines go into a bounded buffer, and lines that do not fit are dropped and counted. A reader
+//! that stops reading the output therefore cannot stop the instance.
 
 use std::{
     io::{self, Write},
@@ -16,12 +16,12 @@
 
 use env_logger::{Builder, Env, Target};
 
-/// Lines that may wait to be written. At 300 bytes each about 1 MB.
+/// Capacity of the buffer in lines. At 300 bytes each it holds about 1 MB.
 const BUFFERED_LINES: usize = 4_096;
-/// How long lines are batch before they are written. Written one by one, each would wake the thread and be a call to
-/// the kernel of its own, and a busy leader writes thousands in a second.
+/// How long lines are collected before they are written. Writing each line on its own would cost a wake-up of the
+/// thread and a system call per line, and a busy leader logs thousands of lines a second.
 const BATCH_INTERVAL: Duration = Duration::from_millis(20);
-/// How long the end of the process waits for the last lines.
+/// How long the process waits for the last lines when it ends.
 const FLUSH_WAIT: Duration = Duration::from_millis(200);
 
 static DROPPED: AtomicU64 = AtomicU64::new(0);
@@ -48,7 +48,7 @@
     }
 }
 
-/// Starts logging.
+/// Initialises logging.
 pub fn init() {
     let (sender, receiver) = mpsc::sync_channel(BUFFERED_LINES);
     if QUEUE.set(sender).is_err() {
@@ -62,12 +62,12 @@
         .init();
 }
 
-/// Lines dropped so far because the buffer was full.
+/// Number of lines that were dropped so far because the buffer was full.
 pub fn dropped() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// Waits a little for the lines that are buffered.
+/// Waits up to [`FLUSH_WAIT`] until the buffered lines are written.
 pub fn flush() {
     let Some(queue) = QUEUE.get() else { return };
     let (sender, receiver) = mpsc::sync_channel(1);
@@ -108,7 +108,7 @@
             }
             Line::Flush(done) => {
                 self.write();
-                // Who does not wait any more needs no telling.
+                // The waiting thread may have timed out.
                 let _dropped = done.send(());
             }
         }
--- a/lilacpass-node/src/main.rs
+++ b/lilacpass-node/src/main.rs
@@ -1,4 +1,4 @@
-//! The program of one instance; see the library.
+//! The program that runs one instance; see the library.
 
 use std::process::ExitCode;
 
--- a/lilacpass-node/src/metrics.rs
+++ b/lilacpass-node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Figures of an instance, served as text on the metrics address.
+//! Metrics of an instance, served as text on the metrics port.
 
 use std::time::Duration;
 
@@ -19,15 +19,15 @@
 
 use crate::logging;
 
-/// Port of the metrics, as `deploy/system.toml` names it.
+/// Port of the metrics, as given in `deploy/system.toml`.
 pub const PORT: u16 = 9_464;
-/// Path of the metrics, as `deploy/system.toml` names it.
+/// Path of the metrics, as given in `deploy/system.toml`.
 pub const PATH: &str = "/metrics";
-/// Bounds of time histograms, in seconds: from an answer within one instance to a caller's patience.
+/// Bucket bounds of time histograms, in seconds: from a response within one instance up to a client's timeout.
 const TIME_BOUNDS_S: [f64; 12] =
     [0.001, 0.003, 0.01, 0.03, 0.06, 0.1, 0.25, 0.5, 1.0, 2.0, 3.0, 10.0];
 
-/// Figures of an instance. Counters rise from 0 at the start of the process.
+/// Metrics of an instance. Counters start from 0 with the process.
 pub struct Metrics {
     registry: Registry,
     // Keeps the exporter alive.
@@ -59,7 +59,7 @@
 }
 
 impl Metrics {
-    /// Figures that are all 0.
+    /// Metrics that are all 0.
     pub fn new() -> Self {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -69,7 +69,7 @@
         let provider = match exporter {
             Ok(exporter) => SdkMeterProvider::builder().with_reader(exporter).build(),
             Err(err) => {
-                log::error!(error:% = err; "metrics can't be exported");
+                log::error!(error:% = err; "metrics cannot be exported");
                 SdkMeterProvider::builder().build()
             }
         };
@@ -101,60 +101,60 @@
         }
     }
 
-    /// A request of a caller was answered.
+    /// Records a client request that was answered.
     pub fn request(&self, status: StatusCode, took: Duration) {
         let status = KeyValue::new("status", i64::from(status.as_u16()));
         self.requests.add(1, &[status]);
         self.request_seconds.record(took.as_secs_f64(), &[]);
     }
 
-    /// An order to a worker has ended.
+    /// Records an order to a worker that has completed or failed.
     pub fn order(&self, order: &'static str, outcome: &'static str, took: Duration) {
         let order = KeyValue::new("order", order);
         self.orders.add(1, &[order.clone(), KeyValue::new("outcome", outcome)]);
         self.order_seconds.record(took.as_secs_f64(), &[order]);
     }
 
-    /// An append has ended.
+    /// Records an append that has completed or failed.
     pub fn append(&self, outcome: &'static str, took: Duration) {
         self.appends.add(1, &[KeyValue::new("outcome", outcome)]);
         self.append_seconds.record(took.as_secs_f64(), &[]);
     }
 
-    /// A call for advice has ended.
+    /// Records an advice call that has completed or failed.
     pub fn advice(&self, outcome: &'static str) {
         self.advice.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// A greeting to the leader has ended.
+    /// Records a heartbeat to the leader that has completed or failed.
     pub fn heartbeat(&self, outcome: &'static str) {
         self.heartbeats.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// A read of the desired state has ended. `source` is the store or another instance.
+    /// Records a read of the desired state. `source` is the store or another instance.
     pub fn desired_read(&self, source: &'static str, outcome: &'static str) {
         let source = KeyValue::new("source", source);
         self.desired_reads.add(1, &[source, KeyValue::new("outcome", outcome)]);
     }
 
-    /// A desired state was taken in.
+    /// Records the version of a desired state that was adopted.
     pub fn desired_version(&self, version: u64) {
         self.desired_version.record(version, &[]);
     }
 
-    /// A read of the registered workers has ended: of all, or of changes.
+    /// Records a read of the registered workers: of all, or of changes.
     pub fn workers_read(&self, what: &'static str, outcome: &'static str) {
         let what = KeyValue::new("what", what);
         self.workers_reads.add(1, &[what, KeyValue::new("outcome", outcome)]);
     }
 
-    /// This instance took over.
+    /// Records that this instance took over.
     pub fn took_over(&self) {
         self.takeovers.add(1, &[]);
         self.leads.record(1, &[]);
     }
 
-    /// How far this instance is behind as the leader, and what it does about that.
+    /// Records how far behind this instance is as the leader, and how it responds to that.
     pub fn pressure(&self, level: Level, behind: Duration) {
         let level = match level {
             Level::KeepsUp => 0,
@@ -165,7 +165,7 @@
         self.behind_seconds.record(behind.as_secs_f64(), &[]);
     }
 
-    /// What has happened in the cell since this was last told.
+    /// Adds the counts of events in the cell since the last call.
     pub fn record_counters(&self, tally: &Tally) {
         for loss in Loss::ALL {
             let how = KeyValue::new("how", loss.as_str());
@@ -177,13 +177,13 @@
         }
     }
 
-    /// This instance leads no more.
+    /// Records that this instance does not lead any more.
     pub fn leadership_lost(&self) {
         self.leads.record(0, &[]);
         self.pressure(Level::KeepsUp, Duration::ZERO);
     }
 
-    /// All figures as text.
+    /// The response to a request for metrics, in the text format of Prometheus.
     pub fn reply(&self, path: &str) -> Reply {
         if path != PATH {
             return Reply::error(StatusCode::NOT_FOUND, "no such path");
@@ -196,7 +196,7 @@
     }
 }
 
-/// The outcome of a call for metrics.
+/// The metric label for the result of a call.
 pub fn outcome<T, E>(result: &Result<T, E>) -> &'static str {
     if result.is_ok() { "ok" } else { "failed" }
 }
--- a/lilacpass-node/src/operator_api.rs
+++ b/lilacpass-node/src/operator_api.rs
@@ -1,5 +1,5 @@
-//! What operators can ask an instance: its own state, the state of the cell, and why a job is where
-//! it is. The last two are answered by the leader; any other instance names it.
+//! Queries of operators: the state of an instance, the state of the cell, and why a job is in its current state. Only
+//! the leader can answer the last two; other instances name it in their response.
 
 use bytes::Bytes;
 use http::StatusCode;
@@ -13,10 +13,10 @@
 pub const INSTANCE_PATH: &str = "/operator/instance";
 /// Path of the state of the cell.
 pub const STATUS_PATH: &str = "/operator/status";
-/// Path before the id of a job.
+/// Path prefix that is followed by the id of a job.
 pub const EXPLAIN_PATH: &str = "/operator/explain/";
 
-/// Serves an operator.
+/// Handles an operator's request.
 pub async fn serve(node: &Node, path: &str) -> Reply {
     if path == INSTANCE_PATH {
         return ok(&instance(node));
--- a/lilacpass-node/src/registered_workers.rs
+++ b/lilacpass-node/src/registered_workers.rs
@@ -1,4 +1,4 @@
-//! The workers that are registered in the store, as they were last seen there, and what changes.
+//! The workers that are registered in the store, as of the last read, and the changes between reads.
 
 use std::collections::HashMap;
 
@@ -6,7 +6,8 @@
 use lilacpass_lead::{Event, event::Registration};
 use lilacpass_platform::{registry, store::Placed};
 
-/// Looks in a row in which a worker must be missing: entries come back after the store does.
+/// Number of consecutive full reads that must lack a worker before it counts as gone. After the store has recovered,
+/// entries may appear late.
 const MIN_MISSED_READS: u32 = 2;
 
 /// The registered workers.
@@ -15,20 +16,20 @@
     seen: HashMap<WorkerName, SeenEntry>,
 }
 
-/// A worker, or what is written in the place of one.
+/// A worker's entry as last seen.
 #[derive(Debug, Default)]
 struct SeenEntry {
-    /// Place of its newest entry.
+    /// Offset of its newest record.
     offset: u64,
-    /// The worker; none where the entry names none that can be used.
+    /// The worker; `None` if the entry cannot be decoded.
     worker: Option<Registration>,
-    /// Looks in a row in which it was missing.
+    /// Number of consecutive full reads that lacked the entry.
     missed_reads: u32,
 }
 
 impl RegisteredWorkers {
-    /// Takes in the newest entries of all workers. Returns what the leader is to be told: all workers, so that one
-    /// that it has taken for gone by mistake comes back.
+    /// Applies the newest entries of all workers. Returns events for all of them, so that a worker that the leader
+    /// wrongly considers gone is restored.
     pub fn apply_full_read(&mut self, records: Vec<Placed>) -> Vec<Event> {
         for seen in self.seen.values_mut() {
             seen.missed_reads += 1;
@@ -42,10 +43,11 @@
         events
     }
 
-    /// Takes in entries that were written since the last look, in order. Returns what has changed for the leader.
+    /// Applies records that were written since the last read, in order. Returns events for the workers that have
+    /// changed.
     ///
-    /// Each worker writes its entry again and again, mostly with nothing new in it. To tell the leader of each would
-    /// have it look for work for that worker each time.
+    /// Each worker writes its entry again and again, mostly unchanged. If the leader received an event for each of
+    /// them, it would look for work for that worker each time.
     pub fn apply_changes(&mut self, records: Vec<Placed>) -> Vec<Event> {
         let mut events = Vec::new();
         for placed in records {
@@ -58,18 +60,18 @@
         events
     }
 
-    /// The worker that an entry names, as it was last seen.
+    /// An event that lists the worker as it was last seen.
     fn last_listing(&self, placed: &Placed) -> Option<Event> {
         let name = WorkerName::from(placed.record.key.as_str());
         self.seen.get(&name)?.worker.clone().map(Event::WorkerListed)
     }
 
-    /// Whether a worker was missing from the last look. Only a look at all entries tells whether it still is.
+    /// Whether the last read lacked a worker. Only a full read shows whether it is still missing.
     pub fn has_missing(&self) -> bool {
         self.seen.values().any(|seen| seen.missed_reads > 0)
     }
 
-    /// Notes an entry. Returns what it says that is new.
+    /// Applies an entry. Returns an event if it has changed.
     fn apply_entry(&mut self, placed: &Placed) -> Option<Event> {
         let key = placed.record.key.as_str();
         let name = WorkerName::from(key);
@@ -86,17 +88,17 @@
                 seen.worker = Some(worker.clone());
                 Some(Event::WorkerListed(worker))
             }
-            // Entries are written again and again; one line tells of all until the entry can be read.
+            // Entries are written again and again, so this is logged only once until the entry can be decoded.
             Err(err) if is_new || seen.worker.is_some() => {
                 seen.worker = None;
-                log::warn!(worker = key, error:% = err; "registration is passed over");
+                log::warn!(worker = key, error:% = err; "ignoring a registration that cannot be decoded");
                 Some(Event::WorkerUnlisted(name))
             }
             Err(_) => None,
         }
     }
 
-    /// Notes that an entry was removed.
+    /// Marks an entry as removed. The worker counts as gone once a full read confirms it.
     fn mark_removed(&mut self, placed: &Placed) {
         let name = WorkerName::from(placed.record.key.as_str());
         let Some(seen) = self.seen.get_mut(&name) else { return };
@@ -106,6 +108,7 @@
         }
     }
 
+    /// Removes the workers that count as gone, and adds an event for each.
     fn remove_missing(&mut self, events: &mut Vec<Event>) {
         self.seen.retain(|name, seen| {
             let is_gone = seen.missed_reads >= MIN_MISSED_READS;
--- a/lilacpass-node/src/registry_watch.rs
+++ b/lilacpass-node/src/registry_watch.rs
@@ -1,4 +1,4 @@
-//! Follows which workers are registered, while this instance leads.
+//! Watches the registered workers while this instance leads.
 
 use std::{rc::Rc, time::Duration};
 
@@ -15,25 +15,25 @@
 
 use crate::{leader_handle::Message, metrics, node::Node, registered_workers::RegisteredWorkers};
 
-/// Time between looks. A worker that drains must get no starts 2 s after it says so.
+/// Interval between reads. A worker must not get any starts later than 2 s after it reports that it is draining.
 const INTERVAL: Duration = Duration::from_millis(500);
-/// How long the store may take. Its slowest answers take 0.6 s.
+/// Timeout of a store call. The store's slowest responses take 0.6 s.
 const TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Time between looks at all entries, which find those that were removed without a record. A look at all takes some
-/// hundred bytes a worker: made each time, they keep orders and renewals waiting on a thin link.
+/// Interval between full reads, which find entries that were removed without a record. A full read takes some hundred
+/// bytes per worker. If every read were a full one, orders and renewals would have to wait on a thin link.
 const FULL_READ_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What a look brought.
+/// Result of a read.
 enum RegistryRead {
-    /// The newest entries of all workers, and where to read on.
+    /// The newest entries of all workers, and the position from which to continue.
     All(Vec<Placed>, u64),
-    /// Entries that were written since, and where to read on.
+    /// Records that were written since the last read, and the position from which to continue.
     Changes(Vec<Placed>, u64),
-    /// The store has deleted what was written since.
+    /// The store has deleted the records that were written since the last read.
     Truncated,
 }
 
-/// Follows the workers until the leader has ended.
+/// Watches the workers until the leader loop has ended.
 pub async fn run(node: Rc<Node>, messages: mpsc::UnboundedSender<Message>) {
     let mut registered = RegisteredWorkers::default();
     let mut next = None;
@@ -61,7 +61,7 @@
                 continue;
             }
             Err(err) => {
-                log::info!(what, error:% = err; "workers can't be read");
+                log::info!(what, error:% = err; "reading the registered workers failed");
                 time::sleep(INTERVAL).await;
                 continue;
             }
@@ -76,7 +76,8 @@
     }
 }
 
-/// Reads the newest entry of each worker. What is written meanwhile is read after it, since pages are no snapshot.
+/// Reads the newest entry of each worker. Pages are not a consistent snapshot, so the next read continues from where
+/// the partition ended at the first page.
 async fn read_all(node: &Node) -> Result<RegistryRead> {
     let partition = Partition::of_platform(registry::TOPIC);
     let mut records = Vec::new();
@@ -94,7 +95,7 @@
     }
 }
 
-/// Reads what was written from a position on.
+/// Reads the records from a position on.
 async fn read_changes(node: &Node, from: u64) -> Result<RegistryRead> {
     let partition = Partition::of_platform(registry::TOPIC);
     let mut records = Vec::new();
--- a/lilacpass-node/src/relay_selection.rs
+++ b/lilacpass-node/src/relay_choice.rs
@@ -1,57 +1,58 @@
-//! Which instances relay the leader's orders to workers.
+//! Selects the instances that relay the leader's orders to workers.
 //!
-//! Load pattern: a cell of hundreds of workers, in which thousands of looks and starts go out each second, or a leader
-//! with a thin link. Each order is a call of its own, and the text of its job goes with each start: the leader's
-//! processor, or its link, is full long ranks what it decides takes either. Sent by way of a few other instances,
-//! many orders share one message. Each message takes a few hundredths of a second longer, so a leader that has
-//! processor and link to spare sends its orders itself.
+//! In a cell of hundreds of workers thousands of polls and starts are sent each second, and some leaders have thin
+//! links. Each order is a call of its own, and each start carries the payload of its job. The leader's CPU or link is
+//! therefore saturated by orders long before it is saturated by scheduling. When a few other instances send the orders,
+//! many of them share one message. Each message adds a few hundredths of a second, so a leader with CPU and bandwidth
+//! to spare sends its orders itself.
 
 use std::{cmp::Reverse, collections::BTreeMap};
 
-/// Processor that an order takes whoever sends it, in microseconds.
+/// CPU time of an order for its sender, in microseconds.
 const ORDER_CPU_US: f64 = 60.0;
-/// Share of the leader's processor, or of its link, that orders may take ranks others relay them.
+/// Utilisation of the leader's CPU or link by orders from which they are relayed.
 const RELAY_START_UTILISATION: f64 = 0.2;
-/// Share below which the leader sends them itself again.
+/// Utilisation below which the leader sends orders itself again.
 const RELAY_STOP_UTILISATION: f64 = 0.1;
-/// Share of its processor that an instance may spend on relaying.
+/// Share of its CPU limit that an instance may spend on relaying.
 const RELAY_CPU_SHARE: f64 = 0.2;
-/// A relay in use stays until the others have so many times the processor that is needed.
+/// A relay in use is kept until the others have this many times the CPU that is needed.
 const KEEP_FACTOR: f64 = 2.0;
-/// Thousandths of a core in one.
+/// Thousandths of a core in a core.
 const MILLIS_PER_CORE: f64 = 1_000.0;
+/// Microseconds in a second.
 const US_PER_SECOND: f64 = 1_000_000.0;
 
-/// Orders that are given in a second.
+/// Load of orders per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// How many.
+    /// Orders per second.
     pub orders: f64,
-    /// Their bytes, with heads.
+    /// Their bytes per second, including headers.
     pub bytes: f64,
 }
 
-/// What the leader may use.
+/// Resources that the leader may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaderCapacity {
-    /// Processor, in thousandths of a core.
+    /// CPU limit, in thousandths of a core.
     pub cpu_millis: u32,
-    /// Bytes a second that its link carries; 0 where that is not known.
+    /// Bandwidth of its link in bytes per second; 0 if it is not known.
     pub link: u64,
 }
 
 /// An instance that could relay orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate<'a> {
-    /// Where it is reached.
+    /// Address of the instance for peers.
     pub address: &'a str,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub data_centre: &'a str,
-    /// Processor that it may use, in thousandths of a core.
+    /// CPU limit, in thousandths of a core.
     pub cpu_millis: u32,
 }
 
-/// Share of its processor or of its link, the greater, that orders take of a leader that sends them itself.
+/// Share of the leader's CPU or link, whichever is greater, that orders would use if the leader sent them itself.
 pub fn utilisation(load: Load, capacity: LeaderCapacity) -> f64 {
     let cpu = load.orders * ORDER_CPU_US
         / US_PER_SECOND
@@ -60,10 +61,10 @@
     cpu.max(link)
 }
 
-/// Who is to relay orders; nobody where the leader can send them itself. `in_use` are those that do so now.
+/// Selects the relays; none if the leader can send its orders itself. `in_use` are the current relays.
 ///
-/// The largest instance of each data centre, then the next of each, until they have processor enough. Those in use stay
-/// as long as they are there, since the workers of one that goes have to be dealt out anew.
+/// The largest instance of each data centre is selected first, then the next of each, until their CPU suffices. Current
+/// relays are kept while they are present, since the workers of a retired relay have to be reassigned.
 pub fn choose<'a>(
     load: Load,
     capacity: LeaderCapacity,
@@ -77,7 +78,7 @@
     }
     let is_used = |candidate: &Candidate<'_>| in_use.iter().any(|used| used == candidate.address);
     candidates.sort_by_key(|c| (!is_used(c), Reverse(c.cpu_millis), c.address));
-    // The first of each data centre come ranks the second of any.
+    // The first instance of each data centre precedes the second of any.
     let mut ranks: BTreeMap<&str, usize> = BTreeMap::new();
     let mut rounds: Vec<(usize, Candidate<'a>)> = Vec::new();
     for candidate in candidates {
--- a/lilacpass-node/src/relay_client.rs
+++ b/lilacpass-node/src/relay_client.rs
@@ -1,4 +1,4 @@
-//! Sends orders to the instances that relay them, many to a message, and waits for what comes of each.
+//! Sends orders to relays, many to a message, and waits for the outcome of each.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -8,15 +8,15 @@
 
 use crate::{clock, node::Node, peers, relay_messages::Order, relays::RelayResult};
 
-/// Time between two messages to a relay. What is decided meanwhile shares the next.
+/// Interval between two messages to a relay. Orders that are decided meanwhile share the next one.
 const MESSAGE_INTERVAL: Duration = Duration::from_millis(15);
-/// How long a relay may take to confirm a message, which it does before it acts on it.
+/// Timeout for a relay's confirmation of a message, which it sends before it executes the orders.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(400);
-/// Added to the time that an order takes at its worker: both ways between leader and relay, and the gathering of
-/// messages at both.
+/// Added to the execution time of an order for the round trip between leader and relay, and for the batching of
+/// messages on both sides.
 const RELAY_OVERHEAD: Duration = Duration::from_millis(200);
 
-/// Has a relay carry an order out. Waits for `execution_timeout` and the ways between.
+/// Has a relay execute an order. Waits for `execution_timeout` and the overhead of the relay.
 pub async fn execute(
     node: &Rc<Node>,
     address: &Rc<str>,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Sends what is queued for a relay until there is nothing more.
+/// Sends the orders queued for a relay until there are none left.
 async fn send_queue(node: Rc<Node>, address: Rc<str>) {
     loop {
         let epoch = node.relays.borrow().epoch();
@@ -46,7 +46,7 @@
         let numbers: Vec<u64> = orders.iter().map(|order| order.message.number).collect();
         let message = build_message(&node, epoch, orders);
         if let Err(err) = peers::send_orders(&node, &address, &message, CONFIRM_TIMEOUT).await {
-            log::info!(relay = &*address, orders = numbers.len(), error:% = err; "relay does not take orders");
+            log::info!(relay = &*address, orders = numbers.len(), error:% = err; "relay did not accept orders");
             let mut relays = node.relays.borrow_mut();
             if relays.epoch() == epoch {
                 relays.fail(&address, &numbers, err.verdict(), clock::now().steady_ms);
@@ -57,7 +57,7 @@
     }
 }
 
-/// A message with orders, in which each payload stands once.
+/// Builds a message with orders that contains each payload once.
 fn build_message(node: &Node, epoch: u64, orders: Vec<Order>) -> v1::PeerOrders {
     let mut payload_indices: HashMap<String, u32> = HashMap::new();
     let mut message =
--- a/lilacpass-node/src/relay_messages.rs
+++ b/lilacpass-node/src/relay_messages.rs
@@ -1,4 +1,4 @@
-//! Orders and their outcomes as they travel between the leader and an instance that relays them.
+//! Conversion of orders and their outcomes to and from the messages between the leader and its relays.
 
 use lilacpass_core::Verdict;
 use lilacpass_jobs::{End, JobKey, StepName, TaskName};
@@ -6,16 +6,16 @@
 use lilacpass_platform::workers::{Look, Start};
 use lilacpass_schema::v1;
 
-/// An order without its number, and what it does where it is a start.
+/// An order that has no number yet, and the payload if it is a start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Order {
-    /// The order; the place of its payload is set when it is sent.
+    /// The order; the index of its payload is set when it is sent.
     pub message: v1::RelayedOrder,
-    /// What a start does; empty for others.
+    /// Payload of a start; empty for other orders.
     pub payload: String,
 }
 
-/// A look at a worker.
+/// Encodes a poll of a worker.
 pub fn poll(worker: &str, address: &str, look: Look) -> Order {
     let look = v1::RelayedLook {
         lease_until_ms: look.lease_until_ms,
@@ -27,7 +27,7 @@
     Order { message, payload: String::new() }
 }
 
-/// A start.
+/// Encodes a start.
 pub fn start(worker: &str, address: &str, start: Start<'_>) -> Order {
     let payload = start.payload.to_owned();
     let start = v1::RelayedStart {
@@ -41,7 +41,7 @@
     Order { message, payload }
 }
 
-/// A stop.
+/// Encodes a stop.
 pub fn stop(worker: &str, address: &str, task: TaskName, run: u32) -> Order {
     let stop = v1::RelayedStop { run: Some(write_run(task, run)) };
     let message = v1::RelayedOrder { stop: Some(stop), ..addressed_to(worker, address) };
@@ -53,19 +53,19 @@
     v1::RelayedOrder { worker, address, ..Default::default() }
 }
 
-/// A run as it travels.
+/// Encodes a run.
 fn write_run(task: TaskName, run: u32) -> v1::RelayedRun {
     let TaskName { step: StepName { job, occurrence, step }, index } = task;
     v1::RelayedRun { job: job.0, occurrence, step, index, run }
 }
 
-/// Reads a run; none where it is missing.
+/// Decodes a run; `None` if it is missing.
 pub fn read_run(run: Option<&v1::RelayedRun>) -> Option<(TaskName, u32)> {
     let v1::RelayedRun { job, occurrence, step, index, run } = *run?;
     Some((StepName { job: JobKey(job), occurrence, step }.task(index), run))
 }
 
-/// Reads a look.
+/// Decodes a poll.
 pub fn read_poll(look: &v1::RelayedLook) -> Look {
     Look {
         lease_until_ms: look.lease_until_ms,
@@ -75,7 +75,7 @@
     }
 }
 
-/// What came of an order.
+/// Encodes the outcome of an order.
 pub fn order_outcome(number: u64, result: Result<(), CallError>) -> v1::RelayedOutcome {
     let outcome = match result {
         Ok(()) => v1::OrderOutcome::OrderDone,
@@ -99,7 +99,7 @@
     message
 }
 
-/// What came of a look.
+/// Encodes the outcome of a poll.
 pub fn poll_outcome(number: u64, result: Result<LookAnswer, CallError>) -> v1::RelayedOutcome {
     match result {
         Ok(answer) => {
@@ -110,9 +110,9 @@
     }
 }
 
-/// Reads what came of an order; of a look that was answered, the answer.
+/// Decodes the outcome of an order, with the worker's response if it is a poll that succeeded.
 ///
-/// An outcome that makes no sense counts as none: the order may have been carried out.
+/// An outcome that is malformed counts as no outcome: the order may have been executed.
 pub fn read_outcome(message: v1::RelayedOutcome) -> Result<Option<LookAnswer>, CallError> {
     let refused = |refusal| Err(CallError::Refused(refusal));
     match message.outcome() {
@@ -156,8 +156,8 @@
     }
 }
 
-/// Reads the answer to a look. None where a row does not name its run: a run that is left out counts as gone, and its
-/// task would run twice.
+/// Decodes the response to a poll. Returns `None` if a row does not name its run: a run that is left out would count as
+/// gone, and its task would run twice.
 fn read_answer(answer: v1::RelayedAnswer) -> Option<LookAnswer> {
     let running = |row: v1::RelayedRunning| {
         let (task, run) = read_run(row.run.as_ref())?;
--- a/lilacpass-node/src/relay_server.rs
+++ b/lilacpass-node/src/relay_server.rs
@@ -1,7 +1,8 @@
-//! Carries out orders of the leader at workers, and tells it what came of them.
+//! Executes the leader's orders at workers, and reports the outcomes to it.
 //!
-//! Each order is carried out as the leader would: under its epoch, which workers check, and once. An instance that
-//! wakes from a pause with old orders is as a network that delivers late, which workers and leader are ready for.
+//! Orders are executed as the leader would execute them: once, and under its epoch, which workers check. An instance
+//! that resumes after a pause and executes old orders has the same effect as a network that delivers late, which
+//! workers and leader can handle.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -12,25 +13,26 @@
 
 use crate::{frontend::OpenRequest, node::Node, peers, relay_messages};
 
-/// How long outcomes are gathered, so that many share a message.
+/// How long outcomes are collected, so that many of them share a message.
 const BATCH_INTERVAL: Duration = Duration::from_millis(15);
-/// How long the leader may take to confirm outcomes. They are not sent again: the leader looks itself.
+/// Timeout for the leader's confirmation of outcomes. They are not sent again, since the leader polls the worker
+/// itself.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Where outcomes go: the leader's address and its epoch.
+/// Destination of outcomes: the leader's address and its epoch.
 type Destination = (String, u64);
 
-/// PendingOutcomes on their way to leaders. A destination is there while its outcomes are being sent.
+/// Outcomes that are yet to be sent. A destination is present while outcomes are being sent to it.
 #[derive(Debug, Default)]
 pub struct PendingOutcomes {
     waiting: HashMap<Destination, Vec<v1::RelayedOutcome>>,
 }
 
-/// Takes orders from the leader and begins to carry them out. Returns whether they are taken: those of a leader that was
-/// replaced are not.
+/// Accepts orders from the leader and starts to execute them. Returns whether they are accepted; orders of a leader
+/// that was replaced are not.
 pub fn accept(node: &Rc<Node>, message: v1::PeerOrders) -> bool {
     if message.epoch < node.leader.borrow().epoch {
-        log::info!(epoch = message.epoch, leader = message.leader_address.as_str(); "orders of a former leader");
+        log::info!(epoch = message.epoch, leader = message.leader_address.as_str(); "rejecting orders of a former leader");
         return false;
     }
     let destination = (message.leader_address, message.epoch);
@@ -38,7 +40,7 @@
     for order in message.orders {
         let (node, destination, payloads) = (node.clone(), destination.clone(), payloads.clone());
         task::spawn_local(async move {
-            // A planned stop waits for it.
+            // A planned stop waits for the order.
             let open = OpenRequest::new(&node);
             let outcome = execute(&node, destination.1, &order, &payloads).await;
             drop(open);
@@ -50,7 +52,7 @@
     true
 }
 
-/// Carries out an order. None where it makes no sense, so that the leader hears nothing of it.
+/// Executes an order. Returns `None` if it is incomplete, in which case the leader receives no outcome.
 async fn execute(
     node: &Node,
     epoch: u64,
@@ -89,11 +91,11 @@
 }
 
 fn reject_incomplete(number: u64) -> Option<v1::RelayedOutcome> {
-    log::warn!(number; "order is incomplete");
+    log::warn!(number; "ignoring an incomplete order");
     None
 }
 
-/// Has the leader told of an outcome, together with those that come meanwhile.
+/// Queues an outcome for the leader, and starts sending unless that is in progress.
 fn queue_outcome(node: &Rc<Node>, destination: Destination, outcome: v1::RelayedOutcome) {
     let mut outcomes = node.pending_outcomes.borrow_mut();
     if let Some(waiting) = outcomes.waiting.get_mut(&destination) {
@@ -104,7 +106,7 @@
     task::spawn_local(send_outcomes(node.clone(), destination));
 }
 
-/// Sends outcomes until there are no more.
+/// Sends outcomes until there are none left.
 async fn send_outcomes(node: Rc<Node>, destination: Destination) {
     loop {
         time::sleep(BATCH_INTERVAL).await;
@@ -120,7 +122,7 @@
         if let Err(err) = peers::send_outcomes(&node, address, &message, CONFIRM_TIMEOUT).await {
             log::info!(
                 leader = address.as_str(), epoch, outcomes = message.outcomes.len(), error:% = err;
-                "leader does not take outcomes"
+                "leader did not accept outcomes"
             );
         }
     }
--- a/lilacpass-node/src/relays.rs
+++ b/lilacpass-node/src/relays.rs
@@ -18,8 +18,8 @@
 use tokio::sync::oneshot;
 
 use crate::{
+    relay_choice::{self, Candidate, LeaderCapacity, Load},
     relay_messages::{self, Order},
-    relay_selection::{self, Candidate, LeaderCapacity, Load},
 };
 
 /// How long an instance is not used as a relay after a failure, in milliseconds. The time doubles with each consecutive
@@ -134,7 +134,7 @@
         self.cooldowns.retain(|_, until_ms| now_ms < *until_ms);
         candidates.retain(|candidate| !self.cooldowns.contains_key(candidate.address));
         let in_use: Vec<String> = self.relays.keys().map(ToString::to_string).collect();
-        let mut chosen = relay_selection::choose(self.load, capacity, &in_use, candidates);
+        let mut chosen = relay_choice::choose(self.load, capacity, &in_use, candidates);
         chosen.sort_unstable_by_key(|candidate| candidate.address);
         let addresses: Vec<&str> = chosen.iter().map(|candidate| candidate.address).collect();
         if addresses == in_use {
--- a/lilacpass-node/src/signals.rs
+++ b/lilacpass-node/src/signals.rs
@@ -1,5 +1,5 @@
-//! Signals of the platform: SIGTERM for a planned stop, SIGHUP for changed settings, which may also
-//! change without one.
+//! Signal handling: SIGTERM for a planned stop, and SIGHUP for changed settings, which may also change without a
+//! signal.
 
 use std::{rc::Rc, time::Duration};
 
@@ -11,25 +11,25 @@
 
 use crate::node::Node;
 
-/// Kept back from the time that the platform gives to stop, for the deadline answers to get out.
+/// Subtracted from the platform's grace period, so that the last responses can be sent.
 const GRACE_MARGIN: Duration = Duration::from_millis(900);
-/// How long a stopping instance stays for callers that have not noticed yet. The platform settings_checks once
-/// a second whether it is ready, and takes it out of rotation after two misses.
+/// How long a stopping instance stays up for clients that have not been redirected yet. The platform checks its
+/// readiness once a second, and takes it out of rotation after two failed checks.
 const DRAIN_TIME: Duration = Duration::from_millis(2_600);
-/// Time between settings_checks whether requests are still being served.
+/// Interval between checks for open requests.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between settings_checks at the settings file. A look costs one system call; nothing of the settings is
+/// Interval between checks of the settings file. A check costs one system call, and changes of the settings are not
 /// urgent.
 const SETTINGS_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Handles signals until the process is to end.
+/// Handles signals until the process should end.
 pub async fn run(node: Rc<Node>) {
     let (mut terminate, mut hangup) =
         match (signal(SignalKind::terminate()), signal(SignalKind::hangup())) {
             (Ok(terminate), Ok(hangup)) => (terminate, hangup),
             (Err(err), _) | (_, Err(err)) => {
-                log::error!(error:% = err; "signals can't be handled");
+                log::error!(error:% = err; "signals cannot be handled");
                 return;
             }
         };
@@ -52,18 +52,18 @@
     stop(&node).await;
 }
 
-/// Reads the settings again. Addresses stay as they are for the life of a process.
+/// Reads the settings again and logs whether they have changed. A running process keeps its settings.
 fn reload(node: &Node) {
     match settings::read() {
-        Ok(settings) if settings == node.settings => log::info!("settings read again, no change"),
-        Ok(_) => log::info!("settings read again; what has changed holds from the next start"),
-        Err(err) => log::error!(error:% = err; "settings can't be read again, the old ones stay"),
+        Ok(settings) if settings == node.settings => log::info!("settings reloaded, no change"),
+        Ok(_) => log::info!("settings changed; the changes take effect at the next start"),
+        Err(err) => log::error!(error:% = err; "settings cannot be reloaded, keeping the old ones"),
     }
 }
 
-/// A planned stop: hands the lead over, serves what comes until callers have moved, then ends.
+/// Performs a planned stop: hands leadership over, serves requests until clients have been redirected, then ends.
 async fn stop(node: &Node) {
-    log::info!(leads = node.leads(); "asked to stop");
+    log::info!(leads = node.leads(); "stop requested");
     node.leaving.send_replace(true);
     if let Some(lead) = node.leader_handle.borrow().as_ref() {
         lead.resign();
--- a/lilacpass-node/src/trace.rs
+++ b/lilacpass-node/src/trace.rs
@@ -1,26 +1,26 @@
-//! What log files tell of one job, from all instances, in the order of time.
+//! Extracts what the log files of all instances report about one job, in order of time.
 
 use std::{fs, io, path::Path};
 
 use lilacpass_jobs::JobKey;
 
-/// Widest line of the table.
+/// Maximum width of a line of the table.
 const COLUMNS: usize = 80;
-/// Columns of the time of day.
+/// Width of the time of day.
 const TIME_COLUMNS: usize = 12;
 
-/// One line of a log.
+/// A line of a log.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Line {
-    /// Time of day as the log shows it, to the millisecond.
+    /// Time of day as shown in the log, to the millisecond.
     pub time: String,
-    /// The instance: the name of the file without its ending.
+    /// The instance: name of the log file without its extension.
     pub instance: String,
-    /// What happened, with its values.
+    /// Message of the line with its values.
     pub text: String,
 }
 
-/// Lines about a job, from all files of a folder, in the order of time.
+/// Reads the lines about a job from all files of a folder, in order of time.
 pub fn read(folder: &Path, job: JobKey) -> io::Result<Vec<Line>> {
     let mut lines = Vec::new();
     for entry in fs::read_dir(folder)? {
@@ -38,7 +38,7 @@
     Ok(lines)
 }
 
-/// Reads a line as the instances write it: `[TIME LEVEL ] text`. Others are passed over.
+/// Parses a line in the format of the instances, `[TIME LEVEL ] text`. Returns `None` for other lines.
 pub fn parse(instance: &str, line: &str) -> Option<Line> {
     let start = line.find('[')?;
     let (head, text) = line.get(start + 1..)?.split_once(']')?;
@@ -48,7 +48,7 @@
     Some(Line { time, instance: instance.to_owned(), text: text.trim().to_owned() })
 }
 
-/// The lines as a table of 80 columns, with the time since the line before.
+/// Formats the lines as a table of up to 80 columns, with the time since the previous line in milliseconds.
 pub fn table(lines: &[Line], job: JobKey) -> String {
     let mut table = String::new();
     let mut before_ms = None;
@@ -57,7 +57,7 @@
         let since_ms =
             before_ms.zip(at_ms).map_or(0, |(before, at): (u64, u64)| at.saturating_sub(before));
         before_ms = at_ms.or(before_ms);
-        // The id of the job is on each line and would fill a quarter of it.
+        // The id of the job is on each line, and would take up a quarter of it.
         let text = line.text.replace(&job.to_string(), "JOB");
         let row = format!("{:TIME_COLUMNS$} {since_ms:>6} {} {text}", line.time, line.instance);
         let shown: String = row.chars().take(COLUMNS).collect();
@@ -67,7 +67,7 @@
     table
 }
 
-/// Milliseconds since midnight of a time of day `HH:MM:SS.mmm`.
+/// Milliseconds from midnight to a time of day in the format `HH:MM:SS.mmm`.
 fn milliseconds(time: &str) -> Option<u64> {
     let (hours, rest) = time.split_once(':')?;
     let (minutes, seconds) = rest.split_once(':')?;
--- a/lilacpass-node/tests/cluster/link.rs
+++ b/lilacpass-node/tests/cluster/link.rs
@@ -13,13 +13,13 @@
 /// Most bytes of one connection that pass before another has its turn.
 const CHUNK_BYTES: usize = 8 * 1_024;
 /// How often a cut is looked for.
-const CUT_POLL: Duration = Duration::from_millis(20);
+const CUT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A link.
 pub struct Link {
     /// Where the instance connects to.
     pub address: String,
-    bytes_a_second: u64,
+    bytes_per_second: u64,
     /// When the link has carried all that was given to it.
     free_at: Cell<Instant>,
     is_cut: Cell<bool>,
@@ -27,14 +27,14 @@
 
 impl Link {
     /// A link from `port` to an address.
-    pub fn open(port: u16, to: &str, bytes_a_second: u64) -> Rc<Self> {
+    pub fn open(port: u16, to: &str, bytes_per_second: u64) -> Rc<Self> {
         let address = format!("127.0.0.1:{port}");
         let listener = std::net::TcpListener::bind(&address).expect("a free port");
         listener.set_nonblocking(true).expect("a listener");
         let listener = TcpListener::from_std(listener).expect("a listener");
         let link = Rc::new(Self {
             address,
-            bytes_a_second,
+            bytes_per_second,
             free_at: Cell::new(Instant::now()),
             is_cut: Cell::new(false),
         });
@@ -61,16 +61,17 @@
         let (mut far_read, mut far_write) = far.into_split();
         select! {
             _ = copy(&mut near_read, &mut far_write) => {}
-            () = self.pass_slowly(&mut far_read, &mut near_write) => {}
+            () = self.copy_throttled(&mut far_read, &mut near_write) => {}
             () = self.until_cut() => {}
         }
     }
 
-    async fn pass_slowly(&self, from: &mut tcp::OwnedReadHalf, to: &mut tcp::OwnedWriteHalf) {
+    async fn copy_throttled(&self, from: &mut tcp::OwnedReadHalf, to: &mut tcp::OwnedWriteHalf) {
         let mut chunk = [0; CHUNK_BYTES];
         while let Ok(length @ 1..) = from.read(&mut chunk).await {
-            let takes = Duration::from_secs_f64(length as f64 / self.bytes_a_second as f64);
-            let passed_at = self.free_at.get().max(Instant::now()) + takes;
+            let transfer_time =
+                Duration::from_secs_f64(length as f64 / self.bytes_per_second as f64);
+            let passed_at = self.free_at.get().max(Instant::now()) + transfer_time;
             self.free_at.set(passed_at);
             time::sleep_until(passed_at).await;
             if to.write_all(&chunk[..length]).await.is_err() {
@@ -81,7 +82,7 @@
 
     async fn until_cut(&self) {
         while !self.is_cut.get() {
-            time::sleep(CUT_POLL).await;
+            time::sleep(CUT_POLL_INTERVAL).await;
         }
     }
 }
--- a/lilacpass-node/tests/cluster/mod.rs
+++ b/lilacpass-node/tests/cluster/mod.rs
@@ -19,8 +19,8 @@
 /// Workers of the cell.
 const WORKERS: usize = 2;
 /// How often a leader is asked for before it counts as missing, and the pause between.
-const LOOKS: u32 = 300;
-const PAUSE: Duration = Duration::from_millis(100);
+const MAX_POLLS: u32 = 300;
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A cell and instances that are not started yet.
 pub struct Cluster {
@@ -37,13 +37,13 @@
     /// Part of a core that it is told it may use.
     pub cpu_share: f64,
     /// What its link to the store carries.
-    pub bytes_a_second: u64,
+    pub bytes_per_second: u64,
 }
 
 impl Member {
     /// An instance with a link that is never full.
     pub fn with_cpu(cpu_share: f64) -> Self {
-        Self { cpu_share, bytes_a_second: 125_000_000 }
+        Self { cpu_share, bytes_per_second: 125_000_000 }
     }
 }
 
@@ -57,7 +57,7 @@
         let link_port = first_port + 2 + WORKERS as u16;
         let links: Vec<Rc<Link>> = (link_port..)
             .zip(members)
-            .map(|(port, member)| Link::open(port, &cell.store_address, member.bytes_a_second))
+            .map(|(port, member)| Link::open(port, &cell.store_address, member.bytes_per_second))
             .collect();
         let port = link_port + members.len() as u16;
         let instances: Vec<Instance> = (0..)
@@ -80,12 +80,12 @@
     pub async fn wait_for_leader(&self, among: &[usize]) -> usize {
         let addresses = self.peer_addresses();
         let mut seen = None;
-        for _ in 0..LOOKS {
+        for _ in 0..MAX_POLLS {
             seen = self.callers.leader(&addresses).await;
             if let Some(leader) = seen.filter(|leader| among.contains(leader)) {
                 return leader;
             }
-            time::sleep(PAUSE).await;
+            time::sleep(POLL_INTERVAL).await;
         }
         panic!("the leader is {seen:?}, none of {among:?}");
     }
@@ -97,13 +97,13 @@
 }
 
 /// Plays a test on a cluster of one instance for each share of a core.
-pub fn play(first_port: u16, cpu_shares: &[f64], test: impl AsyncFnOnce(Cluster)) {
+pub fn run(first_port: u16, cpu_shares: &[f64], test: impl AsyncFnOnce(Cluster)) {
     let members: Vec<Member> = cpu_shares.iter().copied().map(Member::with_cpu).collect();
-    play_members(first_port, &members, test);
+    run_with_members(first_port, &members, test);
 }
 
 /// Plays a test on a cluster of such instances.
-pub fn play_members(first_port: u16, members: &[Member], test: impl AsyncFnOnce(Cluster)) {
+pub fn run_with_members(first_port: u16, members: &[Member], test: impl AsyncFnOnce(Cluster)) {
     let name = format!("lilacpass-cluster-{}-{first_port}", std::process::id());
     let folder = env::temp_dir().join(name);
     fs::create_dir_all(&folder).expect("a folder");
--- a/lilacpass-node/tests/cut_off.rs
+++ b/lilacpass-node/tests/cut_off.rs
@@ -18,11 +18,11 @@
 
 const FIRST_PORT: u16 = 22_850;
 /// How often something is looked for before it counts as missing, and the pause between.
-const LOOKS: u32 = 300;
-const PAUSE: Duration = Duration::from_millis(100);
+const MAX_POLLS: u32 = 300;
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Asks for a count over a connection of its own, and returns the head of the answer.
-fn ask(address: &str) -> String {
+fn request_pending_count(address: &str) -> String {
     get(address, &format!("/{}/", QUEUES[0].name))
 }
 
@@ -41,8 +41,8 @@
 /// Shopkeepers of one data centre are refused for as long as it is cut off, though the others serve:
 /// their connections stay open, and the balancer sends only new connections elsewhere.
 #[test]
-fn a_caller_that_is_refused_for_want_of_a_leader_is_let_go() {
-    cluster::play(FIRST_PORT, &[1.0, 1.0], async |mut cluster| {
+fn a_refused_client_is_disconnected_if_there_is_no_leader() {
+    cluster::run(FIRST_PORT, &[1.0, 1.0], async |mut cluster| {
         cluster.instances.iter_mut().for_each(|instance| instance.start().expect("started"));
         for instance in &cluster.instances {
             let is_open =
@@ -52,8 +52,9 @@
         let leader = cluster.callers.leader(&cluster.peer_addresses()).await.expect("one leads");
         cluster.cell.faults.replace(Faults { store_down: true, ..Faults::default() });
         cluster.instances[leader].kill().expect("killed");
-        let is_let_go = |head: &str| head.contains(" 503 ") && head.contains("connection: close");
-        wait_for(&cluster.instances[1 - leader].callers_address, is_let_go).await;
+        let is_disconnected =
+            |head: &str| head.contains(" 503 ") && head.contains("connection: close");
+        wait_for(&cluster.instances[1 - leader].callers_address, is_disconnected).await;
     });
 }
 
@@ -61,33 +62,33 @@
 /// all: instances that the store had answered just before tried to take over, and greeted the leader
 /// no more until their calls to the store had failed.
 #[test]
-fn states_are_told_while_the_store_is_silent() {
-    const POLLS: u32 = 60;
-    cluster::play(FIRST_PORT + 50, &[1.0, 1.0], async |mut cluster| {
+fn job_states_are_served_while_the_store_is_unresponsive() {
+    const REQUESTS: u32 = 60;
+    cluster::run(FIRST_PORT + 50, &[1.0, 1.0], async |mut cluster| {
         cluster.instances.iter_mut().for_each(|instance| instance.start().expect("started"));
         let is_served = |head: &str| head.contains(" 200 ");
         for instance in &cluster.instances {
             wait_for(&instance.callers_address, is_served).await;
         }
-        let (key, handed) = cluster.callers.submit(QUEUES[0], lasting_job()).await;
+        let (key, handed) = cluster.callers.submit(QUEUES[0], long_running_job()).await;
         assert_eq!(handed, Handed::Accepted);
         let leader = cluster.callers.leader(&cluster.peer_addresses()).await.expect("one leads");
         let follower = cluster.instances[1 - leader].callers_address.clone();
         cluster.cell.faults.replace(Faults { store_slow_ms: 60_000, ..Faults::default() });
         let mut refused = 0;
-        for _ in 0..POLLS {
+        for _ in 0..REQUESTS {
             let to = follower.clone();
             let path = format!("/{}/{key}", QUEUES[0].name);
             let head = task::spawn_blocking(move || get(&to, &path)).await.expect("asked");
             refused += u32::from(!is_served(&head));
-            time::sleep(PAUSE).await;
+            time::sleep(POLL_INTERVAL).await;
         }
-        assert!(refused * 10 <= POLLS, "{refused} of {POLLS} were not told");
+        assert!(refused * 10 <= REQUESTS, "{refused} of {REQUESTS} requests were refused");
     });
 }
 
 /// A job that runs for as long as the test.
-fn lasting_job() -> v1::WorkPlan {
+fn long_running_job() -> v1::WorkPlan {
     let step = v1::WorkStep {
         count: 1,
         cpu_milli: 1_000,
@@ -99,15 +100,15 @@
 }
 
 /// Asks until the head of the answer is as it should be.
-async fn wait_for(address: &str, is_right: impl Fn(&str) -> bool) {
+async fn wait_for(address: &str, is_expected: impl Fn(&str) -> bool) {
     let mut head = String::new();
-    for _ in 0..LOOKS {
+    for _ in 0..MAX_POLLS {
         let to = address.to_owned();
-        head = task::spawn_blocking(move || ask(&to)).await.expect("asked");
-        if is_right(&head) {
+        head = task::spawn_blocking(move || request_pending_count(&to)).await.expect("asked");
+        if is_expected(&head) {
             return;
         }
-        time::sleep(PAUSE).await;
+        time::sleep(POLL_INTERVAL).await;
     }
     panic!("the answer is {head:?}");
 }
--- a/lilacpass-node/tests/desired_relay.rs
+++ b/lilacpass-node/tests/desired_relay.rs
@@ -35,7 +35,7 @@
 /// A state was on its way from the store over a thin link, and the same was asked of another instance: both filled the
 /// link, and took twice as long.
 #[test]
-fn others_are_not_asked_while_the_store_may_still_be_sending() {
+fn peers_are_not_asked_while_the_store_may_still_be_sending() {
     let thinnest = BytesPerSecond(250_000);
     assert!(desired_relay::store_wait(STATE, thinnest) > thinnest.time_for(STATE));
     let fast = BytesPerSecond(125_000_000);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_link_of_which_nothing_is_known_is_not_spared() {
+fn a_link_of_unknown_bandwidth_is_not_limited() {
     let pacing = Pacing::default();
     assert_eq!(pacing.reserve(STATE, BytesPerSecond(0), 1_000), None);
     assert_eq!(pacing.reserve(STATE, BytesPerSecond(0), 1_000), None);
@@ -70,7 +70,7 @@
 /// of these asked for all of it again three times a second, as it still knew of a newer one, and so filled its own
 /// link and that of the instance that it asked until the upgrade was over.
 #[test]
-fn a_desired_state_that_can_not_be_read_is_asked_for_once() {
+fn an_unreadable_desired_state_is_requested_once() {
     let runtime = runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     task::LocalSet::new().block_on(&runtime, async {
         let asked = Rc::new(Cell::new(0));
--- a/lilacpass-node/tests/desired_watch.rs
+++ b/lilacpass-node/tests/desired_watch.rs
@@ -22,7 +22,7 @@
 /// Versions that were published while the store did not answer the instance.
 const VERSIONS: u64 = 12;
 /// How long one desired state takes on the way: 770 KB over 10 Mbit/s.
-const TRANSFER: Duration = Duration::from_millis(620);
+const TRANSFER_TIME: Duration = Duration::from_millis(620);
 
 /// When the store stops answering, and when it answers again.
 const OUTAGE: (Duration, Duration) = (Duration::from_millis(300), Duration::from_millis(2_300));
@@ -38,7 +38,7 @@
     let from = received.query.split('&').find_map(|part| part.strip_prefix("from="));
     let Some(from) = from else {
         // The newest of each key are asked for without a place.
-        time::sleep(TRANSFER.min(down / 2)).await;
+        time::sleep(TRANSFER_TIME.min(down / 2)).await;
         return newest(last);
     };
     let from: u64 = from.parse().expect("a place");
@@ -46,7 +46,7 @@
         time::sleep(down).await;
         return read(Bytes::new(), last);
     }
-    time::sleep(TRANSFER).await;
+    time::sleep(TRANSFER_TIME).await;
     let value = load::desired_state(from + 1).to_string().into_bytes();
     let record = Record { key: desired::KEY.to_owned(), value };
     read(store::encode_records(&[record]).expect("encoded"), last)
@@ -75,9 +75,9 @@
 /// not answered the instance while operators published a dozen versions; it then read all of them in order,
 /// each as long as the last, which alone counts.
 #[test]
-fn an_instance_that_has_fallen_behind_takes_the_newest_desired_state() {
+fn a_lagging_instance_skips_to_the_newest_desired_state() {
     /// One version that is read in vain, a pause, and the newest.
-    const MOST: Duration = Duration::from_millis(2_500);
+    const MAX_CATCH_UP: Duration = Duration::from_millis(2_500);
     let runtime = runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     task::LocalSet::new().block_on(&runtime, async {
         let listener = server::listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
@@ -88,7 +88,7 @@
         task::spawn_local(desired_watch::run(node.clone()));
         time::sleep(OUTAGE.0).await;
         assert_eq!(node.desired_version(), 1);
-        time::sleep_until(begin + OUTAGE.1 + MOST).await;
+        time::sleep_until(begin + OUTAGE.1 + MAX_CATCH_UP).await;
         assert_eq!(node.desired_version(), VERSIONS);
     });
 }
--- a/lilacpass-node/tests/election.rs
+++ b/lilacpass-node/tests/election.rs
@@ -8,7 +8,7 @@
 /// a small instance takes its place. It takes in less than arrives, while larger instances follow it.
 #[test]
 fn the_largest_instance_leads() {
-    cluster::play(FIRST_PORT, &[0.125, 0.125, 0.5, 0.5], async |mut cluster| {
+    cluster::run(FIRST_PORT, &[0.125, 0.125, 0.5, 0.5], async |mut cluster| {
         cluster.instances[0].start().expect("started");
         assert_eq!(cluster.wait_for_leader(&[0]).await, 0);
         for instance in &mut cluster.instances[1..] {
--- a/lilacpass-node/tests/message_queue.rs
+++ b/lilacpass-node/tests/intake.rs
@@ -1,10 +1,10 @@
 //! The order in which a busy leader takes in what has come.
 
-use lilacpass_node::message_queue::{MAX_REQUESTS_PER_ROUND, MessageQueue};
+use lilacpass_node::intake::{IntakeQueue, MAX_REQUESTS_PER_ROUND};
 
 #[test]
-fn what_happened_is_taken_in_before_requests_that_came_earlier() {
-    let mut intake = MessageQueue::default();
+fn events_precede_earlier_requests() {
+    let mut intake = IntakeQueue::default();
     intake.push_request("hand-in");
     intake.push_event("end of a run");
     intake.push_request("cancel");
@@ -16,8 +16,8 @@
 /// Leases lapse on all workers: ten thousand callers ask at once, and a look that was answered meanwhile is taken in
 /// after all of them.
 #[test]
-fn a_round_takes_in_a_bounded_number_of_requests_and_all_that_happened() {
-    let mut intake = MessageQueue::default();
+fn a_round_has_all_events_and_a_bounded_number_of_requests() {
+    let mut intake = IntakeQueue::default();
     let asked = 10 * MAX_REQUESTS_PER_ROUND as u64;
     (0..asked).for_each(|number| intake.push_request(number));
     let mut taken = Vec::new();
--- a/lilacpass-node/tests/leader_wait.rs
+++ b/lilacpass-node/tests/leader_wait.rs
@@ -32,7 +32,7 @@
 /// Two instances lead in turn, because the second took over before the time given to the first was over:
 /// its read had brought nothing, or failed.
 #[tokio::test(start_paused = true)]
-async fn the_whole_time_is_waited_where_nothing_is_written() {
+async fn the_whole_wait_elapses_if_nothing_is_written() {
     let begin = Instant::now();
     let nothing = async { Ok(Read::Records { records: Vec::new(), end: 7 }) };
     assert_eq!(election::wait_for_records(nothing, WATCH).await, []);
--- a/lilacpass-node/tests/main_job.rs
+++ b/lilacpass-node/tests/main_job.rs
@@ -16,20 +16,20 @@
 }
 
 #[test]
-fn jobs_of_all_kinds_are_done_on_a_calm_cell() {
+fn jobs_of_all_kinds_complete_without_faults() {
     assert!(run(false, 22_300, 2));
 }
 
 /// Instances are killed and stopped, workers crash and spoil their work, and the store loses answers,
 /// goes down and forgets its history, while jobs come in. Callers still get all that was accepted.
 #[test]
-fn accepted_jobs_are_done_once_whatever_fails() {
+fn accepted_jobs_complete_once_despite_faults() {
     assert!(run(true, 22_500, 6));
 }
 
 /// Disturbances of each kind come at random, in series and overlapping.
 #[test]
-fn promises_hold_under_disturbances_of_a_seed() {
+fn guarantees_hold_under_seeded_disturbances() {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_lilacpass-node"));
     let options = soak::Options { program, first_port: 22_600, seed: 1, seconds: 20 };
     let runtime = runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
--- a/lilacpass-node/tests/members.rs
+++ b/lilacpass-node/tests/members.rs
@@ -34,7 +34,7 @@
 /// The leader and the store are gone, and an instance has nobody to ask who leads: it had taken an answer
 /// that left the list out for an empty list.
 #[test]
-fn a_list_that_was_left_out_is_kept() {
+fn an_omitted_list_keeps_the_known_one() {
     let mut known = KnownMembers::default();
     known.update(7, addresses(&["a:1", "b:1"]));
     known.update(7, Vec::new());
--- a/lilacpass-node/tests/peer_messages.rs
+++ b/lilacpass-node/tests/peer_messages.rs
@@ -20,7 +20,7 @@
 type Damage = (u8, u16, u8);
 
 /// What instances hand on to the leader, with its path.
-fn sound() -> Vec<(&'static str, Vec<u8>)> {
+fn valid() -> Vec<(&'static str, Vec<u8>)> {
     let queue = v1::QueuePolicy { name: "quick".to_owned(), attempts: 3, ..Default::default() };
     let step = v1::WorkStep { count: 2, cpu_milli: 100, memory_mb: 10, ..Default::default() };
     let later = v1::WorkStep { after: vec![0], ..step.clone() };
@@ -47,8 +47,8 @@
     ]
 }
 
-fn damaged(sound: &[u8], damages: &[Damage]) -> Vec<u8> {
-    let mut bytes = sound.to_vec();
+fn damaged(valid: &[u8], damages: &[Damage]) -> Vec<u8> {
+    let mut bytes = valid.to_vec();
     for &(what, place, byte) in damages {
         let at = usize::from(place) % (bytes.len() + 1);
         match what % 4 {
@@ -64,17 +64,17 @@
 
 /// Messages from fixed seeds.
 fn messages() -> Vec<(&'static str, Vec<u8>)> {
-    let sound = sound();
-    let made = Mutex::new(Vec::new());
+    let valid = valid();
+    let generated = Mutex::new(Vec::new());
     lilacpass_fuzz::check::<(u8, Vec<Damage>)>(SEEDS, 1 << 6, |(which, damages)| {
-        let (path, bytes) = &sound[usize::from(*which) % sound.len()];
-        made.lock().expect("messages").push((*path, damaged(bytes, damages)));
+        let (path, bytes) = &valid[usize::from(*which) % valid.len()];
+        generated.lock().expect("messages").push((*path, damaged(bytes, damages)));
     });
-    made.into_inner().expect("messages")
+    generated.into_inner().expect("messages")
 }
 
 /// A job of four billion tasks, and one that names an earlier step a hundred thousand times.
-fn beyond_all_bounds() -> Vec<(&'static str, Vec<u8>)> {
+fn oversized_messages() -> Vec<(&'static str, Vec<u8>)> {
     let submit = |job: u64, steps: Vec<v1::WorkStep>| {
         let plan = v1::WorkPlan { steps, ..Default::default() };
         let queue = Some(v1::QueuePolicy::default());
@@ -97,13 +97,13 @@
 /// The cell stops, or its leader is restarted again and again: another instance sends what this one can't read, or what
 /// its own version would have refused.
 #[test]
-fn messages_that_are_damaged_are_answered_and_do_no_harm() {
-    cluster::play(FIRST_PORT, &[0.5], async |mut cluster| {
+fn damaged_messages_are_answered_and_harmless() {
+    cluster::run(FIRST_PORT, &[0.5], async |mut cluster| {
         cluster.instances[0].start().expect("started");
         cluster.wait_for_leader(&[0]).await;
         let client = Client::default();
         let address = cluster.instances[0].peer_address.clone();
-        for (path, message) in messages().into_iter().chain(beyond_all_bounds()) {
+        for (path, message) in messages().into_iter().chain(oversized_messages()) {
             let answer = client.call(&call(&address, path, message.clone())).await;
             let status = answer.map(|answer| answer.status);
             assert!(
@@ -111,7 +111,7 @@
                 "{status:?} to {path} {message:?}"
             );
         }
-        let (path, message) = beyond_all_bounds().remove(0);
+        let (path, message) = oversized_messages().remove(0);
         let body = client.call(&call(&address, path, message)).await.expect("an answer").body;
         let reply = v1::PeerWorkReply::decode(body).expect("a reply");
         assert_eq!(reply.outcome(), v1::WorkOutcome::WorkInvalid, "{}", reply.detail);
--- a/lilacpass-node/tests/registry_watch.rs
+++ b/lilacpass-node/tests/registry_watch.rs
@@ -26,7 +26,7 @@
 
 /// A worker goes on being given work after another writer has written over its entry.
 #[test]
-fn a_worker_whose_entry_can_not_be_read_any_more_is_not_used() {
+fn a_worker_with_an_unreadable_entry_is_not_used() {
     let mut registered = RegisteredWorkers::default();
     let events = registered.apply_full_read(vec![placed("w-1", 1, GOOD), placed("w-2", 2, "{}")]);
     assert_eq!(events.iter().filter(|event| is_listed(event, "w-1")).count(), 1);
@@ -39,7 +39,7 @@
 
 /// The same where the entry is written over between two looks at all of them.
 #[test]
-fn a_change_that_can_not_be_read_ends_the_use_of_a_worker() {
+fn an_unreadable_change_ends_the_use_of_a_worker() {
     let mut registered = RegisteredWorkers::default();
     registered.apply_full_read(vec![placed("w-1", 1, GOOD)]);
     let events = registered.apply_changes(vec![placed("w-1", 2, "{")]);
@@ -50,7 +50,7 @@
 
 /// The leader spends its time on looking for work for workers that have only written that they live.
 #[test]
-fn an_entry_that_is_written_again_with_nothing_new_is_no_news() {
+fn an_unchanged_entry_causes_no_event() {
     let mut registered = RegisteredWorkers::default();
     registered.apply_full_read(vec![placed("w-1", 1, GOOD)]);
     assert_eq!(registered.apply_changes(vec![placed("w-1", 2, GOOD), placed("w-1", 3, GOOD)]), []);
@@ -60,7 +60,7 @@
 
 /// Guards against a leader that goes on filling a worker that has said that it has less room.
 #[test]
-fn a_worker_that_says_it_has_another_room_is_told_to_the_leader() {
+fn a_changed_capacity_is_reported_to_the_leader() {
     let says = |cpu: u32| {
         GOOD.replace('}', &format!(r#", "capacity": {{"cpu": {cpu}, "memMb": 100, "gpu": 0}}}}"#))
     };
@@ -78,7 +78,7 @@
 
 /// A worker that has left goes on being counted, or one whose entry was away for a moment is given up.
 #[test]
-fn a_removed_worker_is_gone_once_a_look_at_all_confirms_it() {
+fn a_removed_worker_is_gone_once_a_full_read_confirms_it() {
     let mut registered = RegisteredWorkers::default();
     registered.apply_full_read(vec![placed("w-1", 1, GOOD), placed("w-2", 2, GOOD)]);
     assert_eq!(registered.apply_changes(vec![placed("w-1", 3, ""), placed("w-2", 4, "")]), []);
@@ -91,7 +91,7 @@
 
 /// An entry that was removed without a record of it is missed by a look at all, and by the next.
 #[test]
-fn a_worker_that_vanishes_is_gone_after_two_looks_at_all() {
+fn a_worker_that_vanishes_is_gone_after_two_full_reads() {
     let mut registered = RegisteredWorkers::default();
     registered.apply_full_read(vec![placed("w-1", 1, GOOD)]);
     assert_eq!(registered.apply_full_read(Vec::new()), []);
@@ -105,8 +105,8 @@
 /// An instance with a link of 2 Mbit/s leads, and accepted work is lost on a calm day: renewals, looks and orders wait
 /// behind the list of all workers, which is read twice a second.
 #[test]
-fn following_the_workers_leaves_a_thin_link_free() {
-    const LINK_BYTES_A_SECOND: u64 = 250_000;
+fn watching_the_workers_leaves_a_thin_link_free() {
+    const LINK_BYTES_PER_SECOND: u64 = 250_000;
     const LASTS: Duration = Duration::from_secs(4);
     let shape = Shape {
         workers: 200,
@@ -122,7 +122,7 @@
         task::spawn_local(registry_watch::run(node, messages));
         time::sleep(LASTS).await;
         inbox.close();
-        let most = LINK_BYTES_A_SECOND * LASTS.as_secs() / 4;
+        let most = LINK_BYTES_PER_SECOND * LASTS.as_secs() / 4;
         let read: u64 = cell.calls.borrow().values().map(|calls| calls.answered_bytes).sum();
         assert!(read > 0 && read <= most, "{read} bytes, {most} at most");
     });
--- a/lilacpass-node/tests/relay_selection.rs
+++ b/lilacpass-node/tests/relay_choice.rs
@@ -1,6 +1,6 @@
 //! Which instances relay orders, by load.
 
-use lilacpass_node::relay_selection::{self, Candidate, LeaderCapacity, Load};
+use lilacpass_node::relay_choice::{self, Candidate, LeaderCapacity, Load};
 
 /// Half a core, and 200 Mbit/s.
 const LARGE: LeaderCapacity = LeaderCapacity { cpu_millis: 500, link: 25_000_000 };
@@ -25,21 +25,21 @@
     ]
 }
 
-fn choose(orders: f64, bytes: f64, means: LeaderCapacity, in_use: &[&str]) -> Vec<&'static str> {
+fn choose(orders: f64, bytes: f64, capacity: LeaderCapacity, in_use: &[&str]) -> Vec<&'static str> {
     let in_use: Vec<String> = in_use.iter().map(|&address| address.to_owned()).collect();
-    let chosen = relay_selection::choose(Load { orders, bytes }, means, &in_use, candidates());
+    let chosen = relay_choice::choose(Load { orders, bytes }, capacity, &in_use, candidates());
     chosen.into_iter().map(|candidate| candidate.address).collect()
 }
 
 /// Each start of a small cell takes longer for nothing.
 #[test]
-fn a_leader_that_can_send_its_orders_uses_no_relay() {
+fn a_lightly_loaded_leader_uses_no_relay() {
     assert!(choose(300.0, 120_000.0, LARGE, &[]).is_empty());
 }
 
 /// The leader of a thousand workers fills its processor with calls, and all that it decides waits behind them.
 #[test]
-fn a_leader_that_is_short_of_processor_uses_the_largest_of_each_data_centre() {
+fn a_leader_short_of_cpu_uses_the_largest_instance_of_each_data_centre() {
     assert_eq!(choose(3_000.0, 1_500_000.0, LARGE, &[]), ["a:2", "b:1", "c:1"]);
 }
 
@@ -57,13 +57,13 @@
 
 /// Workers are dealt out anew again and again, and those of each relay wait for it.
 #[test]
-fn relays_stay_while_they_are_there() {
+fn present_relays_are_kept() {
     let mut chosen = choose(2_000.0, 1_000_000.0, LARGE, &["a:1", "b:2", "c:1"]);
     chosen.sort_unstable();
     assert_eq!(chosen, ["a:1", "b:2", "c:1"]);
-    let share = |orders| relay_selection::utilisation(Load { orders, bytes: 0.0 }, LARGE);
+    let utilisation = |orders| relay_choice::utilisation(Load { orders, bytes: 0.0 }, LARGE);
     let between = 1_300.0;
-    assert!((0.1..0.2).contains(&share(between)), "{}", share(between));
+    assert!((0.1..0.2).contains(&utilisation(between)), "{}", utilisation(between));
     assert!(choose(between, 0.0, LARGE, &[]).is_empty());
     assert!(!choose(between, 0.0, LARGE, &["a:2"]).is_empty());
 }
--- a/lilacpass-node/tests/relay_messages.rs
+++ b/lilacpass-node/tests/relay_messages.rs
@@ -25,15 +25,15 @@
     }
 }
 
-fn travel(message: v1::RelayedOutcome) -> v1::RelayedOutcome {
+fn round_trip(message: v1::RelayedOutcome) -> v1::RelayedOutcome {
     v1::RelayedOutcome::decode(message.encode_to_vec().as_slice()).expect("an outcome")
 }
 
 #[test]
-fn outcomes_arrive_as_they_were() {
-    let looked = travel(relay_messages::poll_outcome(4, Ok(answer())));
-    assert_eq!(looked.number, 4);
-    assert_eq!(relay_messages::read_outcome(looked), Ok(Some(answer())));
+fn outcomes_survive_encoding() {
+    let polled = round_trip(relay_messages::poll_outcome(4, Ok(answer())));
+    assert_eq!(polled.number, 4);
+    assert_eq!(relay_messages::read_outcome(polled), Ok(Some(answer())));
     let refusals = [
         Refusal::Fence,
         Refusal::Old,
@@ -49,16 +49,16 @@
         CallError::Failed(Verdict::MayHaveRun),
     ]);
     for error in errors {
-        let sent = travel(relay_messages::order_outcome(1, Err(error.clone())));
+        let sent = round_trip(relay_messages::order_outcome(1, Err(error.clone())));
         assert_eq!(relay_messages::read_outcome(sent), Err(error));
     }
-    let done = travel(relay_messages::order_outcome(1, Ok(())));
+    let done = round_trip(relay_messages::order_outcome(1, Ok(())));
     assert_eq!(relay_messages::read_outcome(done), Ok(None));
 }
 
 /// A task runs twice: a damaged answer left a run out, and the leader took it for gone.
 #[test]
-fn an_answer_with_a_row_that_names_no_run_is_none() {
+fn a_poll_response_with_a_row_without_a_run_is_rejected() {
     let mut sent = relay_messages::poll_outcome(4, Ok(answer()));
     sent.answer.as_mut().expect("an answer").running[0].run = None;
     let unanswered = Err(CallError::Failed(Verdict::MayHaveRun));
@@ -70,7 +70,7 @@
 
 /// A version that knows more outcomes says one that this one does not know: the order may have been carried out.
 #[test]
-fn an_outcome_that_is_not_known_proves_nothing() {
+fn an_unknown_outcome_is_uncertain() {
     let sent = v1::RelayedOutcome { number: 1, outcome: 99, answer: None };
     assert_eq!(relay_messages::read_outcome(sent), Err(CallError::Failed(Verdict::MayHaveRun)));
 }
--- a/lilacpass-node/tests/relay_state.rs
+++ b/lilacpass-node/tests/relay_state.rs
@@ -5,15 +5,15 @@
 use lilacpass_core::Verdict;
 use lilacpass_jobs::WorkerName;
 use lilacpass_node::{
+    relay_choice::{Candidate, LeaderCapacity},
     relay_messages,
-    relay_selection::{Candidate, LeaderCapacity},
     relays::{RelayResult, Relays},
 };
 use lilacpass_platform::workers::Look;
 use tokio::sync::oneshot;
 
-const MEANS: LeaderCapacity = LeaderCapacity { cpu_millis: 500, link: 0 };
-const LOOK: Look = Look { lease_until_ms: None, forget_upto: 0, wait_ms: 800, answer_ms: 400 };
+const CAPACITY: LeaderCapacity = LeaderCapacity { cpu_millis: 500, link: 0 };
+const POLL: Look = Look { lease_until_ms: None, forget_upto: 0, wait_ms: 800, answer_ms: 400 };
 /// Time between reviews.
 const REVIEW_MS: u64 = 200;
 
@@ -21,42 +21,42 @@
     Candidate { address, data_centre, cpu_millis: 500 }
 }
 
-fn both() -> Vec<Candidate<'static>> {
+fn both_candidates() -> Vec<Candidate<'static>> {
     vec![candidate("a:1", "a"), candidate("b:1", "b")]
 }
 
 /// Relays of a busy leader, and its time.
-struct Play {
+struct Simulation {
     relays: Relays,
     now_ms: u64,
 }
 
-impl Play {
+impl Simulation {
     /// A leader that gives 3,000 orders a second, with these instances beside it.
     fn new(candidates: fn() -> Vec<Candidate<'static>>) -> Self {
-        let mut play = Self { relays: Relays::new(7, 0), now_ms: 0 };
-        (0..5).for_each(|_| play.review(candidates()));
-        play
+        let mut sim = Self { relays: Relays::new(7, 0), now_ms: 0 };
+        (0..5).for_each(|_| sim.review(candidates()));
+        sim
     }
 
     fn review(&mut self, candidates: Vec<Candidate<'static>>) {
         (0..600).for_each(|_| self.relays.count_order(0));
         self.now_ms += REVIEW_MS;
-        self.relays.review(MEANS, candidates, self.now_ms);
+        self.relays.review(CAPACITY, candidates, self.now_ms);
     }
 
-    fn home(&mut self, worker: &str, data_centre: &str) -> Option<String> {
-        let home = self.relays.relay_for(&WorkerName::from(worker), data_centre);
-        home.map(|address| address.to_string())
+    fn relay_for(&mut self, worker: &str, data_centre: &str) -> Option<String> {
+        let relay = self.relays.relay_for(&WorkerName::from(worker), data_centre);
+        relay.map(|address| address.to_string())
     }
 
-    fn look(&mut self, address: &str) -> (u64, oneshot::Receiver<RelayResult>) {
-        let order = relay_messages::poll("w", "10.0.0.1:80", LOOK);
+    fn enqueue_poll(&mut self, address: &str) -> (u64, oneshot::Receiver<RelayResult>) {
+        let order = relay_messages::poll("w", "10.0.0.1:80", POLL);
         self.relays.enqueue(&Rc::from(address), order).expect("a relay")
     }
 }
 
-fn lost(mut receiver: oneshot::Receiver<RelayResult>) -> Option<Verdict> {
+fn lost_verdict(mut receiver: oneshot::Receiver<RelayResult>) -> Option<Verdict> {
     match receiver.try_recv() {
         Ok(RelayResult::Lost(verdict)) => Some(verdict),
         Ok(RelayResult::Outcome(_)) | Err(_) => None,
@@ -64,46 +64,46 @@
 }
 
 #[test]
-fn the_orders_to_a_worker_go_by_a_relay_of_its_data_centre() {
-    let mut play = Play::new(both);
-    assert_eq!(play.home("w-1", "a").as_deref(), Some("a:1"));
-    assert_eq!(play.home("w-2", "b").as_deref(), Some("b:1"));
-    assert!(play.home("w-3", "c").is_some(), "and by any where its own has none");
+fn orders_use_a_relay_in_the_data_centre_of_the_worker() {
+    let mut sim = Simulation::new(both_candidates);
+    assert_eq!(sim.relay_for("w-1", "a").as_deref(), Some("a:1"));
+    assert_eq!(sim.relay_for("w-2", "b").as_deref(), Some("b:1"));
+    assert!(sim.relay_for("w-3", "c").is_some(), "and by any where its own has none");
 }
 
 /// A relay is lost with looks at two hundred workers. Each of these seems to be silent for over a second, and gets no
 /// work, though it is sound.
 #[test]
-fn what_a_lost_relay_had_is_lost_at_once_and_its_workers_go_by_others() {
-    let mut play = Play::new(both);
-    let (number, sent) = play.look("a:1");
-    let (_, earlier) = play.look("a:1");
-    assert_eq!(play.relays.take_batch("a:1").map(|orders| orders.len()), Some(2));
-    let (_, unsent) = play.look("a:1");
-    assert_eq!(play.home("w-1", "a").as_deref(), Some("a:1"));
-    play.relays.fail("a:1", &[number], Verdict::NotRun, play.now_ms);
-    assert_eq!(lost(sent), Some(Verdict::NotRun));
-    assert_eq!(lost(earlier), Some(Verdict::MayHaveRun));
-    assert_eq!(lost(unsent), Some(Verdict::NotRun));
-    assert_eq!(play.home("w-1", "a").as_deref(), Some("b:1"));
-    play.review(both());
-    assert_eq!(play.home("w-1", "a").as_deref(), Some("b:1"), "it rests");
+fn a_failed_relay_loses_its_orders_at_once_and_its_workers_move() {
+    let mut sim = Simulation::new(both_candidates);
+    let (number, sent) = sim.enqueue_poll("a:1");
+    let (_, earlier) = sim.enqueue_poll("a:1");
+    assert_eq!(sim.relays.take_batch("a:1").map(|orders| orders.len()), Some(2));
+    let (_, unsent) = sim.enqueue_poll("a:1");
+    assert_eq!(sim.relay_for("w-1", "a").as_deref(), Some("a:1"));
+    sim.relays.fail("a:1", &[number], Verdict::NotRun, sim.now_ms);
+    assert_eq!(lost_verdict(sent), Some(Verdict::NotRun));
+    assert_eq!(lost_verdict(earlier), Some(Verdict::MayHaveRun));
+    assert_eq!(lost_verdict(unsent), Some(Verdict::NotRun));
+    assert_eq!(sim.relay_for("w-1", "a").as_deref(), Some("b:1"));
+    sim.review(both_candidates());
+    assert_eq!(sim.relay_for("w-1", "a").as_deref(), Some("b:1"), "it rests");
 }
 
 /// Orders are made twice with each planned stop of an instance, since what it had under way counts as lost.
 #[test]
-fn a_relay_that_leaves_may_still_tell_of_its_last_orders() {
-    let mut play = Play::new(both);
-    let (number, mut sent) = play.look("a:1");
-    play.relays.take_batch("a:1").expect("an order");
-    let (_, unsent) = play.look("a:1");
-    play.review(vec![candidate("b:1", "b")]);
-    assert_eq!(play.home("w-1", "a").as_deref(), Some("b:1"));
-    assert_eq!(lost(unsent), Some(Verdict::NotRun));
-    assert_eq!(play.relays.handle_outcomes(vec![relay_messages::order_outcome(number, Ok(()))]), 0);
+fn a_retired_relay_may_still_report_its_last_orders() {
+    let mut sim = Simulation::new(both_candidates);
+    let (number, mut sent) = sim.enqueue_poll("a:1");
+    sim.relays.take_batch("a:1").expect("an order");
+    let (_, unsent) = sim.enqueue_poll("a:1");
+    sim.review(vec![candidate("b:1", "b")]);
+    assert_eq!(sim.relay_for("w-1", "a").as_deref(), Some("b:1"));
+    assert_eq!(lost_verdict(unsent), Some(Verdict::NotRun));
+    assert_eq!(sim.relays.handle_outcomes(vec![relay_messages::order_outcome(number, Ok(()))]), 0);
     assert!(matches!(sent.try_recv(), Ok(RelayResult::Outcome(Ok(None)))));
     assert_eq!(
-        play.relays.handle_outcomes(vec![relay_messages::order_outcome(number, Ok(()))]),
+        sim.relays.handle_outcomes(vec![relay_messages::order_outcome(number, Ok(()))]),
         1,
         "told twice"
     );
@@ -111,36 +111,36 @@
 
 /// A relay takes all orders, and what it tells never arrives. Each look by way of it takes over a second, for good.
 #[test]
-fn a_relay_that_tells_nothing_rests_and_for_longer_each_time() {
-    let mut play = Play::new(both);
-    let mut rests_ms = Vec::new();
+fn a_relay_without_outcomes_gets_growing_cooldowns() {
+    let mut sim = Simulation::new(both_candidates);
+    let mut cooldowns_ms = Vec::new();
     for _ in 0..2 {
         for _ in 0..4 {
-            let (number, _) = play.look("a:1");
-            play.relays.record_timeout(number);
+            let (number, _) = sim.enqueue_poll("a:1");
+            sim.relays.record_timeout(number);
         }
-        play.review(both());
-        let began_ms = play.now_ms;
-        assert_eq!(play.home("w-1", "a").as_deref(), Some("b:1"));
-        while play.home("w-1", "a").as_deref() != Some("a:1") {
-            play.review(both());
-            assert!(play.now_ms < began_ms + 60_000, "it never comes back");
+        sim.review(both_candidates());
+        let began_ms = sim.now_ms;
+        assert_eq!(sim.relay_for("w-1", "a").as_deref(), Some("b:1"));
+        while sim.relay_for("w-1", "a").as_deref() != Some("a:1") {
+            sim.review(both_candidates());
+            assert!(sim.now_ms < began_ms + 60_000, "it never comes back");
         }
-        rests_ms.push(play.now_ms - began_ms);
+        cooldowns_ms.push(sim.now_ms - began_ms);
     }
-    assert!(rests_ms[1] > rests_ms[0], "{rests_ms:?}");
+    assert!(cooldowns_ms[1] > cooldowns_ms[0], "{cooldowns_ms:?}");
 }
 
 /// A relay is cut off from the workers, and each of them seems to be silent though the leader reaches it.
 #[test]
-fn a_relay_that_calls_sound_workers_silent_rests() {
-    let mut play = Play::new(both);
+fn a_relay_that_misreports_workers_gets_a_cooldown() {
+    let mut sim = Simulation::new(both_candidates);
     for number in 0..4 {
         let worker = WorkerName::from(format!("w-{number}").as_str());
-        let home = play.relays.relay_for(&worker, "a").expect("a relay");
-        play.relays.suspect_worker(&worker, &home);
-        play.relays.record_direct_poll(&worker, true);
+        let relay = sim.relays.relay_for(&worker, "a").expect("a relay");
+        sim.relays.suspect_worker(&worker, &relay);
+        sim.relays.record_direct_poll(&worker, true);
     }
-    play.review(both());
-    assert_eq!(play.home("w-1", "a").as_deref(), Some("b:1"));
+    sim.review(both_candidates());
+    assert_eq!(sim.relay_for("w-1", "a").as_deref(), Some("b:1"));
 }
--- a/lilacpass-node/tests/relays.rs
+++ b/lilacpass-node/tests/relays.rs
@@ -20,12 +20,12 @@
 use tokio::time::{self, Instant};
 
 const FIRST_PORT: u16 = 24_500;
-const SHARES: [f64; 3] = [0.001; 3];
+const CPU_SHARES: [f64; 3] = [0.001; 3];
 /// How often something is looked for before it counts as missing, and the pause between.
-const LOOKS: u32 = 300;
-const PAUSE: Duration = Duration::from_millis(100);
+const MAX_POLLS: u32 = 300;
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a job may take. Leases of up to twelve seconds are waited for.
-const PATIENCE: Duration = Duration::from_secs(40);
+const JOB_TIMEOUT: Duration = Duration::from_secs(40);
 
 async fn call(
     address: &str,
@@ -41,7 +41,7 @@
 }
 
 /// The relays as the leader among `instances` tells operators; none where nobody leads.
-async fn relays(cluster: &Cluster) -> Option<(usize, Vec<String>)> {
+async fn leader_and_relays(cluster: &Cluster) -> Option<(usize, Vec<String>)> {
     for (leader, instance) in cluster.instances.iter().enumerate() {
         let answer =
             call(&instance.peer_address, Method::GET, "/operator/status", Vec::new()).await;
@@ -58,15 +58,15 @@
 async fn wait_for_relays(cluster: &Cluster, count: usize) -> (usize, Vec<usize>) {
     let addresses = cluster.peer_addresses();
     let mut seen = None;
-    for _ in 0..LOOKS {
-        seen = relays(cluster).await;
+    for _ in 0..MAX_POLLS {
+        seen = leader_and_relays(cluster).await;
         if let Some((leader, relays)) = &seen
             && relays.len() == count
         {
             let number = |relay| addresses.iter().position(|address| address == relay);
             return (*leader, relays.iter().filter_map(number).collect());
         }
-        time::sleep(PAUSE).await;
+        time::sleep(POLL_INTERVAL).await;
     }
     panic!("the leader and its relays are {seen:?}");
 }
@@ -83,7 +83,7 @@
     v1::WorkPlan { payload: "job".to_owned(), steps: vec![step, later], ..Default::default() }
 }
 
-async fn hand_in(cluster: &Cluster, jobs: usize) -> Vec<JobKey> {
+async fn submit_jobs(cluster: &Cluster, jobs: usize) -> Vec<JobKey> {
     let mut keys = Vec::new();
     for _ in 0..jobs {
         let (key, handed) = cluster.callers.submit(QUEUES[1], job()).await;
@@ -95,7 +95,7 @@
 
 /// Waits until all jobs are done, and checks what the workers saw.
 async fn wait_until_done(cluster: &Cluster, jobs: &[JobKey]) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + JOB_TIMEOUT;
     for &job in jobs {
         let state = cluster.callers.wait_for(QUEUES[1], job, &["completed", "failed"], end).await;
         assert_eq!(state, "completed");
@@ -109,11 +109,11 @@
 }
 
 #[test]
-fn jobs_are_done_by_way_of_relays() {
-    cluster::play(FIRST_PORT, &SHARES, async |mut cluster| {
+fn jobs_complete_through_relays() {
+    cluster::run(FIRST_PORT, &CPU_SHARES, async |mut cluster| {
         start(&mut cluster);
         wait_for_relays(&cluster, 2).await;
-        let jobs = hand_in(&cluster, 5).await;
+        let jobs = submit_jobs(&cluster, 5).await;
         wait_until_done(&cluster, &jobs).await;
     });
 }
@@ -121,13 +121,13 @@
 /// An instance that relays orders loses power with orders under way. Tasks whose starts it had taken wait for leases
 /// that were never given, or run twice, since the leader sends the starts again.
 #[test]
-fn the_loss_of_a_relay_loses_and_doubles_nothing() {
-    cluster::play(FIRST_PORT + 50, &SHARES, async |mut cluster| {
+fn losing_a_relay_neither_loses_nor_repeats_tasks() {
+    cluster::run(FIRST_PORT + 50, &CPU_SHARES, async |mut cluster| {
         start(&mut cluster);
         let (_, relays) = wait_for_relays(&cluster, 2).await;
-        let mut jobs = hand_in(&cluster, 4).await;
+        let mut jobs = submit_jobs(&cluster, 4).await;
         cluster.instances[relays[0]].kill().expect("killed");
-        jobs.extend(hand_in(&cluster, 4).await);
+        jobs.extend(submit_jobs(&cluster, 4).await);
         wait_until_done(&cluster, &jobs).await;
     });
 }
@@ -135,15 +135,15 @@
 /// An instance that relays orders stands still for two seconds with orders that it had taken, and carries them out when
 /// it wakes. Meanwhile the leader has given them up and given the tasks to others.
 #[test]
-fn a_relay_that_wakes_with_old_orders_doubles_nothing() {
-    cluster::play(FIRST_PORT + 100, &SHARES, async |mut cluster| {
+fn a_relay_that_resumes_with_old_orders_repeats_no_task() {
+    cluster::run(FIRST_PORT + 100, &CPU_SHARES, async |mut cluster| {
         start(&mut cluster);
         let (_, relays) = wait_for_relays(&cluster, 2).await;
-        let mut jobs = hand_in(&cluster, 4).await;
+        let mut jobs = submit_jobs(&cluster, 4).await;
         cluster.instances[relays[0]].signal(Signal::STOP).expect("stopped");
         time::sleep(Duration::from_secs(2)).await;
         cluster.instances[relays[0]].signal(Signal::CONT).expect("continued");
-        jobs.extend(hand_in(&cluster, 4).await);
+        jobs.extend(submit_jobs(&cluster, 4).await);
         wait_until_done(&cluster, &jobs).await;
     });
 }
@@ -152,27 +152,27 @@
 /// its successor starts.
 #[test]
 fn relays_of_a_lost_leader_follow_its_successor() {
-    cluster::play(FIRST_PORT + 150, &SHARES, async |mut cluster| {
+    cluster::run(FIRST_PORT + 150, &CPU_SHARES, async |mut cluster| {
         start(&mut cluster);
         let (leader, _) = wait_for_relays(&cluster, 2).await;
-        let mut jobs = hand_in(&cluster, 4).await;
+        let mut jobs = submit_jobs(&cluster, 4).await;
         cluster.instances[leader].kill().expect("killed");
         wait_for_relays(&cluster, 1).await;
-        jobs.extend(hand_in(&cluster, 4).await);
+        jobs.extend(submit_jobs(&cluster, 4).await);
         wait_until_done(&cluster, &jobs).await;
     });
 }
 
 /// A planned stop of an instance that relays orders cuts off what it has under way.
 #[test]
-fn a_relay_that_stops_finishes_what_it_has_taken() {
-    cluster::play(FIRST_PORT + 200, &SHARES, async |mut cluster| {
+fn a_stopping_relay_completes_accepted_orders() {
+    cluster::run(FIRST_PORT + 200, &CPU_SHARES, async |mut cluster| {
         start(&mut cluster);
         let (_, relays) = wait_for_relays(&cluster, 2).await;
-        let mut jobs = hand_in(&cluster, 4).await;
+        let mut jobs = submit_jobs(&cluster, 4).await;
         cluster.instances[relays[0]].signal(Signal::TERM).expect("asked to stop");
         wait_for_relays(&cluster, 1).await;
-        jobs.extend(hand_in(&cluster, 4).await);
+        jobs.extend(submit_jobs(&cluster, 4).await);
         wait_until_done(&cluster, &jobs).await;
     });
 }
@@ -180,10 +180,10 @@
 /// After an outage of the store hundreds of starts go out at once, each with a long text. The relay refuses the message as too
 /// long and is used no more for seconds, and the leader sends all by itself just when it has most to do.
 #[test]
-fn a_message_with_many_long_starts_is_taken() {
+fn a_message_with_many_long_starts_is_accepted() {
     const STARTS: u64 = 500;
-    const LONGEST_PAYLOAD: usize = 4_000;
-    cluster::play(FIRST_PORT + 300, &SHARES[..1], async |mut cluster| {
+    const MAX_PAYLOAD_BYTES: usize = 4_000;
+    cluster::run(FIRST_PORT + 300, &CPU_SHARES[..1], async |mut cluster| {
         start(&mut cluster);
         wait_for_relays(&cluster, 0).await;
         let order = |number: u64| v1::RelayedOrder {
@@ -200,7 +200,7 @@
         let orders = v1::PeerOrders {
             epoch: u64::MAX,
             leader_address: "127.0.0.1:1".to_owned(),
-            payloads: (0..STARTS).map(|_| "x".repeat(LONGEST_PAYLOAD)).collect(),
+            payloads: (0..STARTS).map(|_| "x".repeat(MAX_PAYLOAD_BYTES)).collect(),
             orders: (0..STARTS).map(order).collect(),
         };
         let address = &cluster.instances[0].peer_address;
@@ -212,8 +212,8 @@
 /// Somebody sends orders and outcomes that are damaged, of no epoch, or that nobody asked for. They are refused or passed
 /// over, and jobs are done all the same.
 #[test]
-fn foreign_and_damaged_messages_of_relays_do_no_harm() {
-    cluster::play(FIRST_PORT + 250, &SHARES, async |mut cluster| {
+fn foreign_and_damaged_relay_messages_are_harmless() {
+    cluster::run(FIRST_PORT + 250, &CPU_SHARES, async |mut cluster| {
         start(&mut cluster);
         let (leader, relays) = wait_for_relays(&cluster, 2).await;
         let (leader, relay) = (
@@ -241,7 +241,7 @@
         let refused = post(&leader, "/peer/outcomes", outcomes.encode_to_vec()).await;
         assert_eq!(refused, StatusCode::CONFLICT, "outcomes of another epoch");
         assert_eq!(post(&leader, "/peer/outcomes", vec![0xff; 40]).await, StatusCode::BAD_REQUEST);
-        let jobs = hand_in(&cluster, 3).await;
+        let jobs = submit_jobs(&cluster, 3).await;
         wait_until_done(&cluster, &jobs).await;
     });
 }
--- a/lilacpass-node/tests/thin_links.rs
+++ b/lilacpass-node/tests/thin_links.rs
@@ -19,23 +19,23 @@
 
 const FIRST_PORT: u16 = 23_000;
 /// What a link of 10 Mbit/s carries.
-const THIN_BYTES_A_SECOND: u64 = 1_250_000;
+const THIN_LINK_BYTES_PER_SECOND: u64 = 1_250_000;
 /// Queues of a large desired state, and its bytes in the store.
 const MANY_QUEUES: usize = 4_245;
-const LEAST_BYTES: usize = 750_000;
+const MIN_BYTES: usize = 750_000;
 /// How often something is looked for before it counts as missing, and the pause between.
-const LOOKS: u32 = 100;
-const PAUSE: Duration = Duration::from_millis(100);
+const MAX_POLLS: u32 = 100;
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A desired state with many queues that nobody uses.
 fn large_desired_state(version: u64) -> Value {
     let state = load::large_desired_state(version, MANY_QUEUES);
-    assert!(state.to_string().len() >= LEAST_BYTES, "{} bytes", state.to_string().len());
+    assert!(state.to_string().len() >= MIN_BYTES, "{} bytes", state.to_string().len());
     state
 }
 
 /// Asks an instance for the count of waiting jobs of a queue, and returns the status of the answer.
-async fn ask(instance: &str, queue: &str) -> u16 {
+async fn pending_status(instance: &str, queue: &str) -> u16 {
     let call = Call {
         address: instance,
         method: Method::GET,
@@ -48,18 +48,18 @@
 }
 
 /// Waits until an instance serves a queue. Returns whether it does.
-async fn comes_to_serve(instance: &str, queue: &str) -> bool {
-    for _ in 0..LOOKS {
-        if ask(instance, queue).await == 200 {
+async fn wait_until_served(instance: &str, queue: &str) -> bool {
+    for _ in 0..MAX_POLLS {
+        if pending_status(instance, queue).await == 200 {
             return true;
         }
-        time::sleep(PAUSE).await;
+        time::sleep(POLL_INTERVAL).await;
     }
     false
 }
 
 /// Greets an instance, and returns its answer as it came.
-async fn greet(cluster: &Cluster, instance: usize, hello: &v1::PeerHello) -> Bytes {
+async fn send_heartbeat(cluster: &Cluster, instance: usize, hello: &v1::PeerHello) -> Bytes {
     let call = Call {
         address: &cluster.instances[instance].peer_address,
         method: Method::POST,
@@ -72,11 +72,11 @@
 }
 
 /// A greeting from an instance that knows nothing.
-fn first_greeting(address: &str) -> v1::PeerHello {
+fn first_heartbeat(address: &str) -> v1::PeerHello {
     v1::PeerHello { address: address.to_owned(), ..Default::default() }
 }
 
-/// Callers of two data centres were told `no leader is known` for half a minute, though one instance led
+/// Callers of two data centres were listed `no leader is known` for half a minute, though one instance led
 /// all the time at 2 % of its processor. A cancelled job went on being started, since no retry of its
 /// cancelling came through.
 ///
@@ -84,38 +84,38 @@
 /// each instance that did not have it yet; 10 Mbit/s carry 312 KB in the 250 ms after which a greeting counts
 /// as unanswered. So the leader seemed silent to 28 instances, and sent 12,000 KB a second in place of 450.
 #[test]
-fn an_answer_to_a_greeting_is_small_however_large_the_desired_state_is() {
+fn heartbeat_responses_stay_small_with_a_large_desired_state() {
     /// One hundredth of what a thin link carries in the time of a greeting.
-    const MOST_BYTES: usize = 3_000;
-    cluster::play(FIRST_PORT, &[1.0], async |mut cluster| {
+    const MAX_BYTES: usize = 3_000;
+    cluster::run(FIRST_PORT, &[1.0], async |mut cluster| {
         cluster.cell.publish("config", &large_desired_state(2));
         cluster.instances[0].start().expect("started");
-        assert!(comes_to_serve(&cluster.instances[0].callers_address, QUEUES[0].name).await);
-        let answer = greet(&cluster, 0, &first_greeting("127.0.0.1:1")).await;
-        assert!(answer.len() <= MOST_BYTES, "{} bytes", answer.len());
+        assert!(wait_until_served(&cluster.instances[0].callers_address, QUEUES[0].name).await);
+        let answer = send_heartbeat(&cluster, 0, &first_heartbeat("127.0.0.1:1")).await;
+        assert!(answer.len() <= MAX_BYTES, "{} bytes", answer.len());
     });
 }
 
 /// The same cause at another place: a cell of hundreds of instances does nothing and fills the link of its leader, because
 /// each answer to a greeting lists them all.
 #[test]
-fn an_answer_to_a_greeting_lists_the_instances_only_to_those_that_lack_the_list() {
+fn heartbeat_responses_list_instances_only_to_those_without_the_list() {
     const INSTANCES: usize = 200;
-    const MOST_BYTES: usize = 200;
-    cluster::play(FIRST_PORT + 150, &[1.0], async |mut cluster| {
+    const MAX_BYTES: usize = 200;
+    cluster::run(FIRST_PORT + 150, &[1.0], async |mut cluster| {
         cluster.instances[0].start().expect("started");
-        assert!(comes_to_serve(&cluster.instances[0].callers_address, QUEUES[0].name).await);
+        assert!(wait_until_served(&cluster.instances[0].callers_address, QUEUES[0].name).await);
         let addresses: Vec<String> = (1..=INSTANCES).map(|n| format!("10.1.2.3:{n}")).collect();
         for address in &addresses {
-            greet(&cluster, 0, &first_greeting(address)).await;
+            send_heartbeat(&cluster, 0, &first_heartbeat(address)).await;
         }
-        let first = greet(&cluster, 0, &first_greeting(&addresses[0])).await;
-        let told = v1::PeerHelloReply::decode(first).expect("an answer");
-        assert_eq!(told.peers.len(), INSTANCES);
-        let peers_revision = told.peers_revision;
-        let second = v1::PeerHello { peers_revision, ..first_greeting(&addresses[0]) };
-        let answer = greet(&cluster, 0, &second).await;
-        assert!(answer.len() <= MOST_BYTES, "{} bytes", answer.len());
+        let first = send_heartbeat(&cluster, 0, &first_heartbeat(&addresses[0])).await;
+        let listed = v1::PeerHelloReply::decode(first).expect("an answer");
+        assert_eq!(listed.peers.len(), INSTANCES);
+        let peers_revision = listed.peers_revision;
+        let second = v1::PeerHello { peers_revision, ..first_heartbeat(&addresses[0]) };
+        let answer = send_heartbeat(&cluster, 0, &second).await;
+        assert!(answer.len() <= MAX_BYTES, "{} bytes", answer.len());
     });
 }
 
@@ -124,23 +124,23 @@
 /// was given up after 0.7 s and made again from the beginning, without end.
 #[test]
 fn a_large_desired_state_arrives_over_a_thin_link() {
-    let thin = Member { bytes_a_second: THIN_BYTES_A_SECOND, ..Member::with_cpu(1.0) };
-    cluster::play_members(FIRST_PORT + 50, &[thin], async |mut cluster| {
+    let thin = Member { bytes_per_second: THIN_LINK_BYTES_PER_SECOND, ..Member::with_cpu(1.0) };
+    cluster::run_with_members(FIRST_PORT + 50, &[thin], async |mut cluster| {
         cluster.cell.publish("config", &large_desired_state(2));
         cluster.instances[0].start().expect("started");
-        assert!(comes_to_serve(&cluster.instances[0].callers_address, QUEUES[0].name).await);
+        assert!(wait_until_served(&cluster.instances[0].callers_address, QUEUES[0].name).await);
     });
 }
 
 /// An instance that the store does not answer any more has the changes of the desired state from others:
 /// its callers use a queue that was added meanwhile.
 #[test]
-fn an_instance_that_the_store_does_not_answer_learns_the_desired_state_from_others() {
+fn an_instance_cut_off_from_the_store_learns_the_desired_state_from_others() {
     let members = [Member::with_cpu(1.0); 2];
-    cluster::play_members(FIRST_PORT + 100, &members, async |mut cluster| {
+    cluster::run_with_members(FIRST_PORT + 100, &members, async |mut cluster| {
         cluster.instances.iter_mut().for_each(|instance| instance.start().expect("started"));
         for instance in &cluster.instances {
-            assert!(comes_to_serve(&instance.callers_address, QUEUES[0].name).await);
+            assert!(wait_until_served(&instance.callers_address, QUEUES[0].name).await);
         }
         let (_, handed) = cluster.callers.submit(QUEUES[1], small_job()).await;
         assert_eq!(handed, Handed::Accepted);
@@ -149,7 +149,7 @@
         cluster.links[follower].cut();
         cluster.cell.publish("config", &large_desired_state(2));
         let address = &cluster.instances[follower].callers_address;
-        assert!(comes_to_serve(address, "unused-7").await);
+        assert!(wait_until_served(address, "unused-7").await);
     });
 }
 
--- a/lilacpass-node/tests/thin_store.rs
+++ b/lilacpass-node/tests/thin_store.rs
@@ -21,7 +21,7 @@
 
 /// What a link of 2 Mbit/s carries.
 const LINK_MBPS: f64 = 2.0;
-const LINK_BYTES_A_SECOND: f64 = 250_000.0;
+const LINK_BYTES_PER_SECOND: f64 = 250_000.0;
 /// Small, so that what was sent and has not passed the link waits at its sender.
 const RECEIVE_BUFFER_BYTES: u32 = 16 * 1_024;
 const CHUNK_BYTES: usize = 4 * 1_024;
@@ -31,7 +31,7 @@
     Rc::new(Node::new(instances::settings(store, LINK_MBPS)))
 }
 
-fn play<T>(test: impl Future<Output = T>) -> T {
+fn run<T>(test: impl Future<Output = T>) -> T {
     let runtime = runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     task::LocalSet::new().block_on(&runtime, test)
 }
@@ -43,9 +43,9 @@
 
 impl Link {
     /// Waits until so many bytes have passed.
-    async fn pass(&self, bytes: usize) {
-        let takes = Duration::from_secs_f64(bytes as f64 / LINK_BYTES_A_SECOND);
-        let passed_at = self.free_at.get().max(Instant::now()) + takes;
+    async fn transfer(&self, bytes: usize) {
+        let transfer_time = Duration::from_secs_f64(bytes as f64 / LINK_BYTES_PER_SECOND);
+        let passed_at = self.free_at.get().max(Instant::now()) + transfer_time;
         self.free_at.set(passed_at);
         time::sleep_until(passed_at).await;
     }
@@ -66,25 +66,25 @@
     let link = Rc::new(Link { free_at: Cell::new(Instant::now()) });
     loop {
         let (stream, _) = listener.accept().await.expect("a connection");
-        task::spawn_local(take_append(stream, link.clone()));
+        task::spawn_local(receive_append(stream, link.clone()));
     }
 }
 
-async fn take_append(mut stream: TcpStream, link: Rc<Link>) {
+async fn receive_append(mut stream: TcpStream, link: Rc<Link>) {
     let mut arrived = Vec::new();
     let mut chunk = [0; CHUNK_BYTES];
-    while !is_whole(&arrived) {
+    while !is_complete(&arrived) {
         let Ok(length @ 1..) = stream.read(&mut chunk).await else { return };
-        link.pass(length).await;
+        link.transfer(length).await;
         arrived.extend_from_slice(&chunk[..length]);
     }
     let body = r#"{"offset":0,"end":1}"#;
     let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
-    // A caller that has given up reads no answer.
-    let _gone = stream.write_all(answer.as_bytes()).await;
+    // A caller that has served up reads no answer.
+    let _closed = stream.write_all(answer.as_bytes()).await;
 }
 
-fn is_whole(request: &[u8]) -> bool {
+fn is_complete(request: &[u8]) -> bool {
     let Some(head_end) = request.windows(4).position(|w| w == b"\r\n\r\n") else { return false };
     let head = String::from_utf8_lossy(&request[..head_end]).to_lowercase();
     let length = head.lines().find_map(|line| line.strip_prefix("content-length: "));
@@ -92,41 +92,41 @@
     request.len() >= head_end + 4 + length
 }
 
-/// A leader with a thin link stores nothing any more, and no job is taken or given out. 300 KB of records have
+/// A leader with a thin link stores nothing any more, and no job is taken or served out. 300 KB of records have
 /// gathered, which take 1.2 s over 2 Mbit/s; the append is sent again after 90 ms, and again, beside
 /// those under way. All copies share the link, none is whole after 3 s, and new ones take their place.
 #[test]
 fn a_large_append_is_stored_over_a_thin_link() {
     const RECORD_BYTES: usize = 300_000;
-    const MOST: Duration = Duration::from_secs(6);
-    play(async {
+    const MAX_TIME: Duration = Duration::from_secs(6);
+    run(async {
         let node = node(&open_thin_store());
         let records = Bytes::from(vec![0; RECORD_BYTES]);
         let writer = Writer { epoch: 1, sequence: 0 };
         let partition = takeover::jobs_partition();
         let storing = append::store(&node, &partition, writer, &records);
-        assert_eq!(time::timeout(MOST, storing).await, Ok(Ok(())));
+        assert_eq!(time::timeout(MAX_TIME, storing).await, Ok(Ok(())));
     });
 }
 
 /// Opens a store that has so many pages of jobs, each slow, and refuses each call whose number is in `refused`.
 fn open_paged_store(pages: u32, refused: fn(u32) -> bool) -> String {
-    const PAGE_TAKES: Duration = Duration::from_millis(900);
+    const PAGE_LATENCY: Duration = Duration::from_millis(900);
     let listener = server::listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     let calls = Rc::new(Cell::new(0));
-    let given = Rc::new(Cell::new(0));
+    let served = Rc::new(Cell::new(0));
     let handler = move |_received| {
-        let (calls, given) = (calls.clone(), given.clone());
+        let (calls, served) = (calls.clone(), served.clone());
         async move {
             calls.set(calls.get() + 1);
             if refused(calls.get()) {
                 return Reply::status(StatusCode::SERVICE_UNAVAILABLE);
             }
-            time::sleep(PAGE_TAKES).await;
-            given.set(given.get() + 1);
-            let item = json!({ "key": takeover::LEAD_KEY, "value": "", "offset": given.get() });
-            let page = json!({ "items": [item], "hasMore": given.get() < pages, "end": 9 });
+            time::sleep(PAGE_LATENCY).await;
+            served.set(served.get() + 1);
+            let item = json!({ "key": takeover::LEAD_KEY, "value": "", "offset": served.get() });
+            let page = json!({ "items": [item], "hasMore": served.get() < pages, "end": 9 });
             Reply::body(StatusCode::OK, Bytes::from(page.to_string()))
         }
     };
@@ -134,12 +134,12 @@
     address
 }
 
-/// Nobody leads for long. Reading all jobs takes an instance with a thin link longer than the 2 s for which calls
+/// Nobody leads for long. Reading all jobs transfer_time an instance with a thin link longer than the 2 s for which calls
 /// may go on failing; that time counted from the beginning of the reading, so the first refusal after it
 /// threw all pages away, and the next try began with the first page.
 #[test]
-fn a_refusal_late_in_a_long_reading_does_not_begin_it_anew() {
-    play(async {
+fn a_late_refusal_does_not_restart_a_long_read() {
+    run(async {
         let node = node(&open_paged_store(4, |call| call == 4));
         assert!(takeover::read_snapshot(&node).await.is_some());
     });
@@ -147,8 +147,8 @@
 
 /// An instance that waits for a store that refuses everything does not notice who leads meanwhile.
 #[test]
-fn a_reading_is_given_up_where_the_store_goes_on_refusing() {
-    play(async {
+fn a_read_is_abandoned_if_the_store_keeps_refusing() {
+    run(async {
         let node = node(&open_paged_store(4, |call| call >= 3));
         let begin = Instant::now();
         assert!(takeover::read_snapshot(&node).await.is_none());
--- a/lilacpass-node/tests/trace.rs
+++ b/lilacpass-node/tests/trace.rs
@@ -6,7 +6,7 @@
 use lilacpass_node::trace;
 
 #[test]
-fn lines_of_all_instances_are_shown_in_the_order_of_time() {
+fn lines_of_all_instances_are_shown_in_order_of_time() {
     let folder = env::temp_dir().join(format!("lilacpass-trace-{}", std::process::id()));
     fs::create_dir_all(&folder).expect("a folder");
     let job = JobKey(0xabc);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_is_no_line_of_an_instance_is_passed_over() {
+fn other_lines_are_ignored() {
     assert_eq!(trace::parse("a", "no brackets"), None);
     assert_eq!(trace::parse("a", "[half"), None);
     assert_eq!(trace::parse("a", "[no time] text"), None);
