--- a/lilacpass-node/src/bin/lilacpass-cell.rs
+++ b/lilacpass-node/src/bin/lilacpass-cell.rs
@@ -36,7 +36,7 @@
         /// Address of any instance for peers, as IP:port.
         address: String,
     },
-    /// Why a job is where it is, or what became of it.
+    /// Why a job is in its current state, or how it ended.
     Explain {
         /// The id of the job, 16 hexadecimal digits.
         job: JobKey,
--- a/lilacpass-node/src/relay_choice.rs
+++ b/lilacpass-node/src/relay_choice.rs
@@ -8,7 +8,7 @@
 
 use std::{cmp::Reverse, collections::BTreeMap};
 
-/// CPU time of an order for its sender, in microseconds.
+/// CPU time of an order for whichever instance sends it, in microseconds.
 const ORDER_CPU_US: f64 = 60.0;
 /// Utilisation of the leader's CPU or link by orders from which they are relayed.
 const RELAY_START_UTILISATION: f64 = 0.2;
--- a/lilacpass-node/src/signals.rs
+++ b/lilacpass-node/src/signals.rs
@@ -52,7 +52,8 @@
     stop(&node).await;
 }
 
-/// Reads the settings again and logs whether they have changed. A running process keeps its settings.
+/// Reads the settings again and logs whether they have changed. Addresses stay the same for the life of a process, so
+/// changes only take effect at the next start.
 fn reload(node: &Node) {
     match settings::read() {
         Ok(settings) if settings == node.settings => log::info!("settings reloaded, no change"),
--- a/lilacpass-node/tests/append.rs
+++ b/lilacpass-node/tests/append.rs
@@ -1,4 +1,4 @@
-//! How records are divided among the calls of an append.
+//! Splitting records into calls, and repeating appends.
 
 use std::{cell::Cell, time::Duration};
 
@@ -15,8 +15,8 @@
     Record { key: format!("key-{number}"), value: vec![number as u8; bytes] }
 }
 
-/// A large burst of jobs is stored in several calls: none may be larger than the store takes, and none
-/// of the records may be left out or change places.
+/// Guards against losing or reordering records of a large burst of jobs, which is stored in several calls, and against
+/// calls that are too large for the store.
 #[test]
 fn records_are_split_in_order_into_calls_within_the_size_limit() {
     let records: Vec<Record> = (0..40).map(|number| record(number, 50 + number)).collect();
@@ -40,9 +40,9 @@
     assert_eq!(append::split(&records, 400).len(), 3);
 }
 
-/// Jobs that are handed in after an outage of the store are refused for three more seconds. The store had
-/// been silent for four seconds; the append under way was sent once more just before its end, and the
-/// leader waited for that one's answer alone.
+/// Guards against refusing jobs for three more seconds after an outage of the store. The store had been unresponsive
+/// for four seconds. The append in progress was sent once more just before the end, and the leader waited for the
+/// response to that attempt alone.
 #[tokio::test(start_paused = true)]
 async fn an_append_is_stored_soon_after_an_outage_of_the_store() {
     const OUTAGE: Duration = Duration::from_millis(4_200);
@@ -50,7 +50,7 @@
     let begin = Instant::now();
     let send = || async {
         if begin.elapsed() < OUTAGE {
-            // Nothing comes back on the connection, and the call is given up.
+            // Nothing comes back on the connection, and the call times out.
             time::sleep(Duration::from_secs(3)).await;
             return Err(Error::Call(Verdict::MayHaveRun, "no answer in time".to_owned()));
         }
@@ -62,7 +62,7 @@
     assert!(late < Duration::from_millis(600), "stored {late:?} after the end of the outage");
 }
 
-/// A slow store is sent each append once: more copies would make it slower still.
+/// Guards against slowing a slow store down further by sending it several copies of each append.
 #[tokio::test(start_paused = true)]
 async fn a_slow_store_receives_each_append_once() {
     const LATENCY: Duration = Duration::from_millis(600);
@@ -76,8 +76,8 @@
     assert_eq!(calls.get(), 1);
 }
 
-/// A caller is told that its job was not taken although it runs later: one copy of the append was refused
-/// while another had got no answer.
+/// Guards against telling a client that its job was not accepted although it runs later: one attempt was refused after
+/// another had got no response.
 #[tokio::test(start_paused = true)]
 async fn a_refusal_is_not_conclusive_while_another_attempt_may_succeed() {
     let calls = Cell::new(0);
--- a/lilacpass-node/tests/cluster/link.rs
+++ b/lilacpass-node/tests/cluster/link.rs
@@ -1,5 +1,5 @@
-//! A network link of an instance: passes connections on to another address on loopback, so many bytes
-//! a second to the instance in all, or none while it is cut.
+//! A network link of an instance: forwards connections to another address on loopback, with a limited bandwidth towards
+//! the instance for all of them together, and no traffic while it is cut.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -10,23 +10,23 @@
     time::{self, Instant},
 };
 
-/// Most bytes of one connection that pass before another has its turn.
+/// Bytes of one connection that are forwarded before another connection has its turn.
 const CHUNK_BYTES: usize = 8 * 1_024;
-/// How often a cut is looked for.
+/// Interval between checks for a cut.
 const CUT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A link.
+/// A network link with limited bandwidth.
 pub struct Link {
-    /// Where the instance connects to.
+    /// Address that the instance connects to.
     pub address: String,
     bytes_per_second: u64,
-    /// When the link has carried all that was given to it.
+    /// When all data accepted so far will have passed the link.
     free_at: Cell<Instant>,
     is_cut: Cell<bool>,
 }
 
 impl Link {
-    /// A link from `port` to an address.
+    /// Opens a link from `port` to an address.
     pub fn open(port: u16, to: &str, bytes_per_second: u64) -> Rc<Self> {
         let address = format!("127.0.0.1:{port}");
         let listener = std::net::TcpListener::bind(&address).expect("a free port");
@@ -43,7 +43,7 @@
         link
     }
 
-    /// Ends all connections, and each new one at once.
+    /// Closes all connections, and each new one at once.
     pub fn cut(&self) {
         self.is_cut.set(true);
     }
--- a/lilacpass-node/tests/cluster/mod.rs
+++ b/lilacpass-node/tests/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! Instances as processes on the stand-in for the platform, in a folder of their own.
+//! Instances as processes on the stand-in for the platform, in a temporary folder.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -16,13 +16,13 @@
 
 use link::Link;
 
-/// Workers of the cell.
+/// Number of workers of the cell.
 const WORKERS: usize = 2;
-/// How often a leader is asked for before it counts as missing, and the pause between.
+/// How often the leader is queried before the test fails, and the interval between queries.
 const MAX_POLLS: u32 = 300;
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A cell and instances that are not started yet.
+/// A cell, and instances that are not started yet.
 pub struct Cluster {
     pub cell: Rc<Cell>,
     pub instances: Vec<Instance>,
@@ -31,12 +31,12 @@
     pub callers: Callers,
 }
 
-/// What sets one instance of a cluster apart from the others.
+/// Properties of one instance of a cluster.
 #[derive(Clone, Copy)]
 pub struct Member {
-    /// Part of a core that it is told it may use.
+    /// CPU limit that it is configured with, as a share of a core.
     pub cpu_share: f64,
-    /// What its link to the store carries.
+    /// Bandwidth of its link to the store.
     pub bytes_per_second: u64,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl Cluster {
-    /// One instance for each member, from `first_port` on.
+    /// Creates one instance for each member, with ports from `first_port` on.
     fn new(first_port: u16, members: &[Member], folder: &Path) -> Self {
         let program = Path::new(env!("CARGO_BIN_EXE_lilacpass-node"));
         let resources = Resources::new(16_000, 65_536, 0, 0);
@@ -90,19 +90,19 @@
         panic!("the leader is {seen:?}, none of {among:?}");
     }
 
-    /// Where operators and other instances reach the instances.
+    /// Addresses at which operators and other instances reach the instances.
     pub fn peer_addresses(&self) -> Vec<String> {
         self.instances.iter().map(|instance| instance.peer_address.clone()).collect()
     }
 }
 
-/// Plays a test on a cluster of one instance for each share of a core.
+/// Runs a test on a cluster with one instance for each CPU share.
 pub fn run(first_port: u16, cpu_shares: &[f64], test: impl AsyncFnOnce(Cluster)) {
     let members: Vec<Member> = cpu_shares.iter().copied().map(Member::with_cpu).collect();
     run_with_members(first_port, &members, test);
 }
 
-/// Plays a test on a cluster of such instances.
+/// Runs a test on a cluster with these instances.
 pub fn run_with_members(first_port: u16, members: &[Member], test: impl AsyncFnOnce(Cluster)) {
     let name = format!("lilacpass-cluster-{}-{first_port}", std::process::id());
     let folder = env::temp_dir().join(name);
--- a/lilacpass-node/tests/cut_off.rs
+++ b/lilacpass-node/tests/cut_off.rs
@@ -1,5 +1,5 @@
-//! What callers are told by an instance that reaches neither the leader nor the store, with real
-//! processes on the stand-in for the platform.
+//! Responses to clients of an instance that reaches neither the leader nor the store, with real processes on the
+//! stand-in for the platform.
 
 mod cluster;
 
@@ -17,16 +17,16 @@
 use tokio::{task, time};
 
 const FIRST_PORT: u16 = 22_850;
-/// How often something is looked for before it counts as missing, and the pause between.
+/// How often a condition is checked before the test fails, and the interval between checks.
 const MAX_POLLS: u32 = 300;
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Asks for a count over a connection of its own, and returns the head of the answer.
+/// Requests the number of pending jobs over a new connection, and returns the head of the response.
 fn request_pending_count(address: &str) -> String {
     get(address, &format!("/{}/", QUEUES[0].name))
 }
 
-/// Asks for something over a connection of its own, and returns the head of the answer.
+/// Sends a GET request over a new connection, and returns the head of the response.
 fn get(address: &str, path: &str) -> String {
     let Ok(mut stream) = TcpStream::connect(address) else { return String::new() };
     let head = format!("GET {path} HTTP/1.1\r\nHost: {HOST}\r\nX-Deadline-Ms: 3000\r\n\r\n");
@@ -38,8 +38,8 @@
     String::from_utf8_lossy(&bytes[..read]).to_lowercase()
 }
 
-/// Shopkeepers of one data centre are refused for as long as it is cut off, though the others serve:
-/// their connections stay open, and the balancer sends only new connections elsewhere.
+/// Guards against refusing the clients of a data centre for as long as it is cut off although the others serve: their
+/// connections stayed open, and the load balancer redirects only new ones.
 #[test]
 fn a_refused_client_is_disconnected_if_there_is_no_leader() {
     cluster::run(FIRST_PORT, &[1.0, 1.0], async |mut cluster| {
@@ -58,9 +58,9 @@
     });
 }
 
-/// Callers who ask for the state of their jobs are told that there is no leader, while the store is silent for
-/// all: instances that the store had answered just before tried to take over, and greeted the leader
-/// no more until their calls to the store had failed.
+/// Guards against telling clients that query the state of their jobs that there is no leader while the store is
+/// unresponsive to all instances. Instances that the store had answered just before tried to take over, and sent the
+/// leader no heartbeats until their store calls had failed.
 #[test]
 fn job_states_are_served_while_the_store_is_unresponsive() {
     const REQUESTS: u32 = 60;
@@ -99,7 +99,7 @@
     v1::WorkPlan { payload: "watch".to_owned(), steps: vec![step], ..Default::default() }
 }
 
-/// Asks until the head of the answer is as it should be.
+/// Repeats the request until the head of the response is as expected.
 async fn wait_for(address: &str, is_expected: impl Fn(&str) -> bool) {
     let mut head = String::new();
     for _ in 0..MAX_POLLS {
--- a/lilacpass-node/tests/desired_relay.rs
+++ b/lilacpass-node/tests/desired_relay.rs
@@ -1,4 +1,4 @@
-//! Desired states from one instance to another.
+//! Transfer of desired states between instances.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -20,9 +20,9 @@
 const STATE: Bytes = Bytes(800_000);
 const THIN: BytesPerSecond = BytesPerSecond(1_250_000);
 
-/// A data centre is cut off from the store, and all its instances ask the one that they hear for the desired state
-/// at the same time. Sent to all at once, it would fill that one's link for ten seconds, and its answers to
-/// greetings would come too late.
+/// Guards against an instance whose link is full for ten seconds, so that its responses to heartbeats are late. When a
+/// data centre is cut off from the store, all of its instances request the desired state from the one that they can
+/// reach at the same time.
 #[test]
 fn desired_states_fill_half_of_a_thin_link() {
     let pacing = Pacing::default();
@@ -32,8 +32,8 @@
     assert_eq!(pacing.reserve(STATE, THIN, 2_280), None);
 }
 
-/// A state was on its way from the store over a thin link, and the same was asked of another instance: both filled the
-/// link, and took twice as long.
+/// Guards against transferring a desired state twice over the same thin link, from the store and from another instance,
+/// which took twice as long.
 #[test]
 fn peers_are_not_asked_while_the_store_may_still_be_sending() {
     let thinnest = BytesPerSecond(250_000);
@@ -53,7 +53,7 @@
     Rc::new(Node::new(instances::settings("127.0.0.1:3", 0.0)))
 }
 
-/// Opens an instance that hands out a desired state which nobody can read, and counts how often. Returns its address.
+/// Starts a peer that returns a desired state that cannot be decoded, and counts the requests. Returns its address.
 fn open_peer(asked: Rc<Cell<u32>>) -> String {
     let listener = server::listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
@@ -66,9 +66,9 @@
     address
 }
 
-/// During an upgrade, instances of the newer version have a desired state that those of the older can't read. Each
-/// of these asked for all of it again three times a second, as it still knew of a newer one, and so filled its own
-/// link and that of the instance that it asked until the upgrade was over.
+/// Guards against full links during an upgrade. Instances of the older version cannot decode a desired state of the
+/// newer one. As they still knew of a newer version, each of them requested it three times a second, which filled its
+/// own link and that of the peer until the upgrade was over.
 #[test]
 fn an_unreadable_desired_state_is_requested_once() {
     let runtime = runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -80,7 +80,7 @@
         task::spawn_local(desired_relay::run(node.clone()));
         time::sleep(Duration::from_secs(4)).await;
         assert_eq!(asked.get(), 1);
-        // A later one may be readable.
+        // A later version may be readable.
         node.record_desired_source(6, &peer);
         time::sleep(Duration::from_secs(2)).await;
         assert_eq!(asked.get(), 2);
--- a/lilacpass-node/tests/desired_watch.rs
+++ b/lilacpass-node/tests/desired_watch.rs
@@ -1,4 +1,4 @@
-//! How an instance follows the desired state in the store.
+//! Watching the desired state in the store.
 
 use std::{rc::Rc, time::Duration};
 
@@ -19,16 +19,16 @@
     time::{self, Instant},
 };
 
-/// Versions that were published while the store did not answer the instance.
+/// Number of versions that are published while the instance cannot reach the store.
 const VERSIONS: u64 = 12;
-/// How long one desired state takes on the way: 770 KB over 10 Mbit/s.
+/// Transfer time of a desired state: 770 KB over 10 Mbit/s.
 const TRANSFER_TIME: Duration = Duration::from_millis(620);
 
-/// When the store stops answering, and when it answers again.
+/// When the store stops responding, and when it responds again.
 const OUTAGE: (Duration, Duration) = (Duration::from_millis(300), Duration::from_millis(2_300));
 
-/// Answers as a store does that was away while all versions but the first were published. Each read brings one, as
-/// two are longer than the most that a read brings.
+/// Responds as a store that was unavailable while all versions but the first were published. Each read returns one
+/// record, as two are longer than the maximum of a read.
 async fn answer(received: Received, up: Duration) -> Reply {
     let (down, back) = OUTAGE;
     if up >= down && up < back {
@@ -37,7 +37,7 @@
     let last = if up < down { 1 } else { VERSIONS };
     let from = received.query.split('&').find_map(|part| part.strip_prefix("from="));
     let Some(from) = from else {
-        // The newest of each key are asked for without a place.
+        // A request without a position asks for the newest record of each key.
         time::sleep(TRANSFER_TIME.min(down / 2)).await;
         return newest(last);
     };
@@ -71,12 +71,12 @@
     Rc::new(Node::new(instances::settings(store, 0.0)))
 }
 
-/// Callers of one instance are told for seconds that a queue does not exist which was added long ago. The store had
-/// not answered the instance while operators published a dozen versions; it then read all of them in order,
-/// each as long as the last, which alone counts.
+/// Guards against an instance that tells its clients for seconds that a queue does not exist which was added long ago.
+/// The instance could not reach the store while operators published a dozen versions. It then read all of them in
+/// order, although only the last one matters.
 #[test]
 fn a_lagging_instance_skips_to_the_newest_desired_state() {
-    /// One version that is read in vain, a pause, and the newest.
+    /// Reading one outdated version, a pause, and reading the newest.
     const MAX_CATCH_UP: Duration = Duration::from_millis(2_500);
     let runtime = runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     task::LocalSet::new().block_on(&runtime, async {
--- a/lilacpass-node/tests/election.rs
+++ b/lilacpass-node/tests/election.rs
@@ -1,11 +1,11 @@
-//! Which instance leads, with real processes on the stand-in for the platform.
+//! Selection of the leader, with real processes on the stand-in for the platform.
 
 mod cluster;
 
 const FIRST_PORT: u16 = 22_700;
-/// Callers of a large cell wait ever longer, and most give up, though workers stand idle.
-/// The instance that was the first to run leads, and has an eighth of a core; or the leader is lost, and
-/// a small instance takes its place. It takes in less than arrives, while larger instances follow it.
+/// Guards against a small leader while larger instances follow it. With an eighth of a core, the leader of a large cell
+/// accepts less than arrives, and clients wait ever longer although workers are idle. Such an instance came to lead
+/// because it was the first to start, or because it replaced a lost leader.
 #[test]
 fn the_largest_instance_leads() {
     cluster::run(FIRST_PORT, &[0.125, 0.125, 0.5, 0.5], async |mut cluster| {
--- a/lilacpass-node/tests/intake.rs
+++ b/lilacpass-node/tests/intake.rs
@@ -1,4 +1,4 @@
-//! The order in which a busy leader takes in what has come.
+//! Order in which a busy leader processes messages.
 
 use lilacpass_node::intake::{IntakeQueue, MAX_REQUESTS_PER_ROUND};
 
@@ -13,8 +13,8 @@
     assert!(intake.is_empty());
 }
 
-/// Leases lapse on all workers: ten thousand callers ask at once, and a look that was answered meanwhile is taken in
-/// after all of them.
+/// Guards against leases expiring on all workers when ten thousand clients send requests at once: the response to a
+/// poll that arrived meanwhile was processed after all of them.
 #[test]
 fn a_round_has_all_events_and_a_bounded_number_of_requests() {
     let mut intake = IntakeQueue::default();
--- a/lilacpass-node/tests/leader_wait.rs
+++ b/lilacpass-node/tests/leader_wait.rs
@@ -1,4 +1,4 @@
-//! How an instance watches for the next leader.
+//! Waiting for a record of the next leader.
 
 use std::time::Duration;
 
@@ -16,8 +16,8 @@
     Placed { offset: 7, record: Record { key: "lead".to_owned(), value: vec![1] } }
 }
 
-/// After all instances have lost power callers are refused for over a second, though a new leader is there.
-/// Most instances had seen its announcement and slept out the time that is given to it.
+/// Guards against refusing client requests for over a second after a power failure of all instances, although there is
+/// a new leader. Most instances had seen its announcement, and slept for the whole time that is given to a take-over.
 #[tokio::test(start_paused = true)]
 async fn a_new_leader_is_noticed_as_soon_as_it_is_written() {
     let begin = Instant::now();
@@ -29,8 +29,8 @@
     assert_eq!(begin.elapsed(), Duration::from_millis(100));
 }
 
-/// Two instances lead in turn, because the second took over before the time given to the first was over:
-/// its read had brought nothing, or failed.
+/// Guards against two instances that lead in turn: the second took over before the time given to the first had passed,
+/// because its read had returned nothing or failed.
 #[tokio::test(start_paused = true)]
 async fn the_whole_wait_elapses_if_nothing_is_written() {
     let begin = Instant::now();
--- a/lilacpass-node/tests/main_job.rs
+++ b/lilacpass-node/tests/main_job.rs
@@ -1,4 +1,4 @@
-//! The main job with real processes on the stand-in for the platform.
+//! The main scenario with real processes on the stand-in for the platform.
 
 use std::path::PathBuf;
 
@@ -20,14 +20,14 @@
     assert!(run(false, 22_300, 2));
 }
 
-/// Instances are killed and stopped, workers crash and spoil their work, and the store loses answers,
-/// goes down and forgets its history, while jobs come in. Callers still get all that was accepted.
+/// Instances are killed and stopped, workers crash and fail their tasks, and the store loses responses, is unavailable
+/// and loses its history while jobs are submitted. All accepted jobs must still complete exactly once.
 #[test]
 fn accepted_jobs_complete_once_despite_faults() {
     assert!(run(true, 22_500, 6));
 }
 
-/// Disturbances of each kind come at random, in series and overlapping.
+/// Random disturbances of each kind, one after another and overlapping.
 #[test]
 fn guarantees_hold_under_seeded_disturbances() {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_lilacpass-node"));
--- a/lilacpass-node/tests/members.rs
+++ b/lilacpass-node/tests/members.rs
@@ -1,4 +1,4 @@
-//! What an instance remembers of the others.
+//! What an instance remembers of the other instances.
 
 use lilacpass_node::members::{KnownMembers, Members, Peer};
 
@@ -31,8 +31,8 @@
     assert_eq!(members.addresses(), addresses(&["b:1"]));
 }
 
-/// The leader and the store are gone, and an instance has nobody to ask who leads: it had taken an answer
-/// that left the list out for an empty list.
+/// Guards against an instance that has no peers to ask for the leader when leader and store are gone: it had taken a
+/// response that omitted the list for an empty list.
 #[test]
 fn an_omitted_list_keeps_the_known_one() {
     let mut known = KnownMembers::default();
--- a/lilacpass-node/tests/orders.rs
+++ b/lilacpass-node/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders whose answers are late or lost.
+//! Orders with late or lost responses.
 
 use std::{cell::Cell, future, time::Duration};
 
@@ -9,8 +9,8 @@
 
 type Answer = Result<(), CallError>;
 
-/// Answers each copy of an order in turn, after so many milliseconds; none for an answer that is lost.
-/// Returns what came of the order, and how many copies were sent.
+/// Responds to each copy of an order in turn, after a number of milliseconds; `None` is a lost response. Returns the
+/// result of the order, and how many copies were sent.
 fn send(answers: &[Option<(u64, Answer)>]) -> (Answer, usize) {
     send_with_budget(&RetryBudget::default(), answers)
 }
@@ -46,8 +46,8 @@
     assert_eq!(send(&[Some((5, refused.clone()))]), (refused, 1));
 }
 
-/// Most checks are late while one call in twenty to workers is lost: a start without an answer was
-/// given up after 0.4 s and made void, and its task began anew elsewhere.
+/// Guards against late jobs while one call in twenty to workers is lost. A start without a response was abandoned after
+/// 0.4 s and marked as never started, and its task was started again on another worker.
 #[test]
 fn an_order_without_a_response_is_sent_again() {
     assert_eq!(send(&[None, Some((5, Ok(())))]), (Ok(()), 2));
@@ -58,8 +58,8 @@
     assert_eq!(send(&[Some((150, Ok(()))), None]), (Ok(()), 2));
 }
 
-/// A report is sent twice: the first copy of a start was carried out, and its run has ended. The second
-/// is refused as old, which must not be taken for a run that never was.
+/// Guards against executing a task twice. The first copy of a start was executed, and its run has ended. The second
+/// copy is refused as old, which does not mean that there was no run.
 #[test]
 fn a_refusal_of_one_copy_does_not_settle_the_other() {
     let uncertain: Answer = Err(CallError::Failed(Verdict::MayHaveRun));
@@ -76,8 +76,8 @@
     assert_eq!(send(&[None, Some((5, fenced.clone()))]), (fenced, 2));
 }
 
-/// Load rises a little, and nobody is served any more: the leader is slow, so every order is late, so
-/// every order is sent twice, and the leader is slower still.
+/// Guards against a collapse when the load rises a little: the leader is slow, so every order is late and sent twice,
+/// which makes the leader slower still.
 #[test]
 fn few_orders_are_sent_again_if_all_are_late() {
     let budget = RetryBudget::default();
--- a/lilacpass-node/tests/peer_messages.rs
+++ b/lilacpass-node/tests/peer_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of other instances that are damaged, or come from a version that checks less.
+//! Messages of other instances that are damaged, or come from a version that validates less.
 
 mod cluster;
 
@@ -11,15 +11,15 @@
 use prost::Message;
 
 const FIRST_PORT: u16 = 22_900;
-/// Damaged messages that are sent.
+/// Number of damaged messages that are sent.
 const SEEDS: u64 = 400;
-/// Longest wait for an answer. The leader takes milliseconds; the rest is for a busy machine.
+/// Timeout for a response. The leader responds within milliseconds; the rest is for a busy machine.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A change to a message: what, where, which byte.
+/// A change to a message: kind of change, position, and byte.
 type Damage = (u8, u16, u8);
 
-/// What instances hand on to the leader, with its path.
+/// Messages that instances forward to the leader, with their paths.
 fn valid() -> Vec<(&'static str, Vec<u8>)> {
     let queue = v1::QueuePolicy { name: "quick".to_owned(), attempts: 3, ..Default::default() };
     let step = v1::WorkStep { count: 2, cpu_milli: 100, memory_mb: 10, ..Default::default() };
@@ -62,7 +62,7 @@
     bytes
 }
 
-/// Messages from fixed seeds.
+/// Damaged messages from fixed seeds.
 fn messages() -> Vec<(&'static str, Vec<u8>)> {
     let valid = valid();
     let generated = Mutex::new(Vec::new());
@@ -94,8 +94,8 @@
     Call { address, method: Method::POST, path, headers: &[], body, timeout: TIMEOUT }
 }
 
-/// The cell stops, or its leader is restarted again and again: another instance sends what this one can't read, or what
-/// its own version would have refused.
+/// Guards against a leader that crashes, or crashes again after each restart, because another instance sends a message
+/// that this one cannot decode, or that its own version would have rejected.
 #[test]
 fn damaged_messages_are_answered_and_harmless() {
     cluster::run(FIRST_PORT, &[0.5], async |mut cluster| {
--- a/lilacpass-node/tests/registry_watch.rs
+++ b/lilacpass-node/tests/registry_watch.rs
@@ -1,4 +1,4 @@
-//! What the leader is told of registered workers, and what following them takes.
+//! Events about registered workers, and the bandwidth that watching them takes.
 
 use std::{rc::Rc, time::Duration};
 
@@ -24,7 +24,7 @@
     matches!(event, Event::WorkerListed(entry) if entry.name == WorkerName::from(name))
 }
 
-/// A worker goes on being given work after another writer has written over its entry.
+/// Guards against assigning work to a worker after another writer has overwritten its entry.
 #[test]
 fn a_worker_with_an_unreadable_entry_is_not_used() {
     let mut registered = RegisteredWorkers::default();
@@ -37,7 +37,7 @@
     assert_eq!(listed, 1, "and used again once it can be read");
 }
 
-/// The same where the entry is written over between two looks at all of them.
+/// The same for an entry that is overwritten between two full reads.
 #[test]
 fn an_unreadable_change_ends_the_use_of_a_worker() {
     let mut registered = RegisteredWorkers::default();
@@ -48,7 +48,7 @@
     assert_eq!(events.iter().filter(|event| is_listed(event, "w-1")).count(), 1);
 }
 
-/// The leader spends its time on looking for work for workers that have only written that they live.
+/// Guards against a leader that spends its time looking for work for workers that have only renewed their entry.
 #[test]
 fn an_unchanged_entry_causes_no_event() {
     let mut registered = RegisteredWorkers::default();
@@ -58,7 +58,7 @@
     assert!(matches!(&events[..], [Event::WorkerListed(entry)] if entry.draining), "{events:?}");
 }
 
-/// Guards against a leader that goes on filling a worker that has said that it has less room.
+/// Guards against a leader that goes on filling a worker after it has reported a smaller capacity.
 #[test]
 fn a_changed_capacity_is_reported_to_the_leader() {
     let says = |cpu: u32| {
@@ -76,7 +76,7 @@
     }
 }
 
-/// A worker that has left goes on being counted, or one whose entry was away for a moment is given up.
+/// Guards against counting a worker that has left, and against giving up one whose entry was missing for a moment.
 #[test]
 fn a_removed_worker_is_gone_once_a_full_read_confirms_it() {
     let mut registered = RegisteredWorkers::default();
@@ -89,7 +89,7 @@
     assert!(!registered.has_missing());
 }
 
-/// An entry that was removed without a record of it is missed by a look at all, and by the next.
+/// An entry that was removed without a record is missing from one full read, and from the next.
 #[test]
 fn a_worker_that_vanishes_is_gone_after_two_full_reads() {
     let mut registered = RegisteredWorkers::default();
@@ -102,8 +102,8 @@
     );
 }
 
-/// An instance with a link of 2 Mbit/s leads, and accepted work is lost on a calm day: renewals, looks and orders wait
-/// behind the list of all workers, which is read twice a second.
+/// Guards against losing accepted work without any fault under a leader with a link of 2 Mbit/s: renewals, polls and
+/// orders had to wait for the list of all workers, which was read twice a second.
 #[test]
 fn watching_the_workers_leaves_a_thin_link_free() {
     const LINK_BYTES_PER_SECOND: u64 = 250_000;
--- a/lilacpass-node/tests/relay_choice.rs
+++ b/lilacpass-node/tests/relay_choice.rs
@@ -1,4 +1,4 @@
-//! Which instances relay orders, by load.
+//! Selection of relays by load.
 
 use lilacpass_node::relay_choice::{self, Candidate, LeaderCapacity, Load};
 
@@ -31,19 +31,20 @@
     chosen.into_iter().map(|candidate| candidate.address).collect()
 }
 
-/// Each start of a small cell takes longer for nothing.
+/// Guards against delaying each start of a small cell for no benefit.
 #[test]
 fn a_lightly_loaded_leader_uses_no_relay() {
     assert!(choose(300.0, 120_000.0, LARGE, &[]).is_empty());
 }
 
-/// The leader of a thousand workers fills its processor with calls, and all that it decides waits behind them.
+/// Guards against a leader of a thousand workers whose CPU is saturated with calls, so that all its decisions wait
+/// behind them.
 #[test]
 fn a_leader_short_of_cpu_uses_the_largest_instance_of_each_data_centre() {
     assert_eq!(choose(3_000.0, 1_500_000.0, LARGE, &[]), ["a:2", "b:1", "c:1"]);
 }
 
-/// A leader with a thin link fills it with the texts of jobs, one to each start.
+/// Guards against a leader whose thin link is filled by the payloads of jobs, one per start.
 #[test]
 fn a_leader_with_a_full_link_uses_relays() {
     assert!(!choose(200.0, 200_000.0, THIN, &[]).is_empty());
@@ -55,7 +56,7 @@
     assert_eq!(choose(9_000.0, 4_000_000.0, LARGE, &[]).len(), 5);
 }
 
-/// Workers are dealt out anew again and again, and those of each relay wait for it.
+/// Guards against reassigning workers again and again, which delays the workers of each relay.
 #[test]
 fn present_relays_are_kept() {
     let mut chosen = choose(2_000.0, 1_000_000.0, LARGE, &["a:1", "b:2", "c:1"]);
--- a/lilacpass-node/tests/relay_messages.rs
+++ b/lilacpass-node/tests/relay_messages.rs
@@ -1,4 +1,4 @@
-//! Orders and outcomes on their way between the leader and a relay.
+//! Encoding of orders and outcomes between the leader and a relay.
 
 use lilacpass_core::Verdict;
 use lilacpass_jobs::{End, How, JobKey, StepName};
@@ -56,7 +56,7 @@
     assert_eq!(relay_messages::read_outcome(done), Ok(None));
 }
 
-/// A task runs twice: a damaged answer left a run out, and the leader took it for gone.
+/// Guards against running a task twice: a damaged response lacked a run, and the leader took it for gone.
 #[test]
 fn a_poll_response_with_a_row_without_a_run_is_rejected() {
     let mut sent = relay_messages::poll_outcome(4, Ok(answer()));
@@ -68,7 +68,7 @@
     assert_eq!(relay_messages::read_outcome(sent), unanswered);
 }
 
-/// A version that knows more outcomes says one that this one does not know: the order may have been carried out.
+/// A newer version may report an outcome that this one does not know: the order may have been executed.
 #[test]
 fn an_unknown_outcome_is_uncertain() {
     let sent = v1::RelayedOutcome { number: 1, outcome: 99, answer: None };
--- a/lilacpass-node/tests/relay_state.rs
+++ b/lilacpass-node/tests/relay_state.rs
@@ -1,4 +1,4 @@
-//! What the leader makes of its relays, under made-up time.
+//! The leader's handling of its relays, under simulated time.
 
 use std::rc::Rc;
 
@@ -14,7 +14,7 @@
 
 const CAPACITY: LeaderCapacity = LeaderCapacity { cpu_millis: 500, link: 0 };
 const POLL: Look = Look { lease_until_ms: None, forget_upto: 0, wait_ms: 800, answer_ms: 400 };
-/// Time between reviews.
+/// Interval between reviews, in milliseconds.
 const REVIEW_MS: u64 = 200;
 
 fn candidate(address: &'static str, data_centre: &'static str) -> Candidate<'static> {
@@ -25,14 +25,14 @@
     vec![candidate("a:1", "a"), candidate("b:1", "b")]
 }
 
-/// Relays of a busy leader, and its time.
+/// Relays of a busy leader, and simulated time.
 struct Simulation {
     relays: Relays,
     now_ms: u64,
 }
 
 impl Simulation {
-    /// A leader that gives 3,000 orders a second, with these instances beside it.
+    /// A leader that sends 3,000 orders a second, with the given instances as candidates.
     fn new(candidates: fn() -> Vec<Candidate<'static>>) -> Self {
         let mut sim = Self { relays: Relays::new(7, 0), now_ms: 0 };
         (0..5).for_each(|_| sim.review(candidates()));
@@ -71,8 +71,8 @@
     assert!(sim.relay_for("w-3", "c").is_some(), "and by any where its own has none");
 }
 
-/// A relay is lost with looks at two hundred workers. Each of these seems to be silent for over a second, and gets no
-/// work, though it is sound.
+/// Guards against idle workers after the failure of a relay that holds polls for two hundred of them. Each of them
+/// seems unresponsive for over a second, and gets no work, although it is healthy.
 #[test]
 fn a_failed_relay_loses_its_orders_at_once_and_its_workers_move() {
     let mut sim = Simulation::new(both_candidates);
@@ -90,7 +90,8 @@
     assert_eq!(sim.relay_for("w-1", "a").as_deref(), Some("b:1"), "it rests");
 }
 
-/// Orders are made twice with each planned stop of an instance, since what it had under way counts as lost.
+/// Guards against sending orders twice at each planned stop of an instance, because its orders in progress count as
+/// lost.
 #[test]
 fn a_retired_relay_may_still_report_its_last_orders() {
     let mut sim = Simulation::new(both_candidates);
@@ -109,7 +110,8 @@
     );
 }
 
-/// A relay takes all orders, and what it tells never arrives. Each look by way of it takes over a second, for good.
+/// Guards against a relay that accepts all orders but whose outcomes never arrive, so that each poll through it takes
+/// over a second, again and again.
 #[test]
 fn a_relay_without_outcomes_gets_growing_cooldowns() {
     let mut sim = Simulation::new(both_candidates);
@@ -131,7 +133,8 @@
     assert!(cooldowns_ms[1] > cooldowns_ms[0], "{cooldowns_ms:?}");
 }
 
-/// A relay is cut off from the workers, and each of them seems to be silent though the leader reaches it.
+/// Guards against a relay that is cut off from the workers, so that each of them seems unresponsive although the leader
+/// reaches it.
 #[test]
 fn a_relay_that_misreports_workers_gets_a_cooldown() {
     let mut sim = Simulation::new(both_candidates);
--- a/lilacpass-node/tests/relays.rs
+++ b/lilacpass-node/tests/relays.rs
@@ -1,6 +1,6 @@
-//! Orders by way of other instances, with real processes on the stand-in for the platform.
+//! Relayed orders, with real processes on the stand-in for the platform.
 //!
-//! The instances are told that they have a thousandth of a core, so that the leader of even a small cell has its orders
+//! The instances are configured with a thousandth of a core, so that the leader of even a small cell has its orders
 //! relayed.
 
 mod cluster;
@@ -21,10 +21,10 @@
 
 const FIRST_PORT: u16 = 24_500;
 const CPU_SHARES: [f64; 3] = [0.001; 3];
-/// How often something is looked for before it counts as missing, and the pause between.
+/// How often a condition is checked before the test fails, and the interval between checks.
 const MAX_POLLS: u32 = 300;
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a job may take. Leases of up to twelve seconds are waited for.
+/// How long a job may take. It may have to wait for leases of up to twelve seconds to expire.
 const JOB_TIMEOUT: Duration = Duration::from_secs(40);
 
 async fn call(
@@ -40,7 +40,7 @@
     Some((response.status, response.body))
 }
 
-/// The relays as the leader among `instances` tells operators; none where nobody leads.
+/// The leader, and the relays as it reports them to operators; `None` if no instance leads.
 async fn leader_and_relays(cluster: &Cluster) -> Option<(usize, Vec<String>)> {
     for (leader, instance) in cluster.instances.iter().enumerate() {
         let answer =
@@ -54,7 +54,7 @@
     None
 }
 
-/// Waits until so many instances relay orders. Returns the leader and the relays, by number.
+/// Waits until `count` instances relay orders. Returns the leader and the relays as indices.
 async fn wait_for_relays(cluster: &Cluster, count: usize) -> (usize, Vec<usize>) {
     let addresses = cluster.peer_addresses();
     let mut seen = None;
@@ -93,7 +93,7 @@
     keys
 }
 
-/// Waits until all jobs are done, and checks what the workers saw.
+/// Waits until all jobs are complete, and checks what the workers observed.
 async fn wait_until_done(cluster: &Cluster, jobs: &[JobKey]) {
     let end = Instant::now() + JOB_TIMEOUT;
     for &job in jobs {
@@ -118,8 +118,8 @@
     });
 }
 
-/// An instance that relays orders loses power with orders under way. Tasks whose starts it had taken wait for leases
-/// that were never given, or run twice, since the leader sends the starts again.
+/// Guards against losing or repeating tasks when an instance that relays orders loses power. Tasks whose starts it had
+/// accepted waited for leases that were never granted, or ran twice, since the leader sends the starts again.
 #[test]
 fn losing_a_relay_neither_loses_nor_repeats_tasks() {
     cluster::run(FIRST_PORT + 50, &CPU_SHARES, async |mut cluster| {
@@ -132,8 +132,8 @@
     });
 }
 
-/// An instance that relays orders stands still for two seconds with orders that it had taken, and carries them out when
-/// it wakes. Meanwhile the leader has given them up and given the tasks to others.
+/// Guards against repeating tasks when a relay is suspended for two seconds with accepted orders, and executes them
+/// when it resumes. Meanwhile the leader has abandoned them and assigned the tasks to other workers.
 #[test]
 fn a_relay_that_resumes_with_old_orders_repeats_no_task() {
     cluster::run(FIRST_PORT + 100, &CPU_SHARES, async |mut cluster| {
@@ -148,8 +148,8 @@
     });
 }
 
-/// The leader is lost while its relays have orders under way. What they carry out for it then must not run beside what
-/// its successor starts.
+/// Guards against running tasks twice when the leader is lost while its relays have orders in progress: those must not
+/// run besides what its successor starts.
 #[test]
 fn relays_of_a_lost_leader_follow_its_successor() {
     cluster::run(FIRST_PORT + 150, &CPU_SHARES, async |mut cluster| {
@@ -163,7 +163,7 @@
     });
 }
 
-/// A planned stop of an instance that relays orders cuts off what it has under way.
+/// Guards against a planned stop of a relay that breaks off its orders in progress.
 #[test]
 fn a_stopping_relay_completes_accepted_orders() {
     cluster::run(FIRST_PORT + 200, &CPU_SHARES, async |mut cluster| {
@@ -177,8 +177,9 @@
     });
 }
 
-/// After an outage of the store hundreds of starts go out at once, each with a long text. The relay refuses the message as too
-/// long and is used no more for seconds, and the leader sends all by itself just when it has most to do.
+/// Guards against a limit on messages that is too small for the hundreds of long starts that are sent at once after an
+/// outage of the store. The relay rejected the message as too long and was not used for seconds, and the leader sent
+/// all orders itself just when it had most to do.
 #[test]
 fn a_message_with_many_long_starts_is_accepted() {
     const STARTS: u64 = 500;
@@ -188,7 +189,7 @@
         wait_for_relays(&cluster, 0).await;
         let order = |number: u64| v1::RelayedOrder {
             number,
-            // Nobody listens there.
+            // No process listens there.
             address: "127.0.0.1:1".to_owned(),
             start: Some(v1::RelayedStart {
                 run: Some(v1::RelayedRun { job: number, run: 1, ..Default::default() }),
@@ -209,8 +210,8 @@
     });
 }
 
-/// Somebody sends orders and outcomes that are damaged, of no epoch, or that nobody asked for. They are refused or passed
-/// over, and jobs are done all the same.
+/// Orders and outcomes that are damaged, without a valid epoch, or not requested are rejected or ignored, and jobs
+/// still complete.
 #[test]
 fn foreign_and_damaged_relay_messages_are_harmless() {
     cluster::run(FIRST_PORT + 250, &CPU_SHARES, async |mut cluster| {
--- a/lilacpass-node/tests/thin_links.rs
+++ b/lilacpass-node/tests/thin_links.rs
@@ -1,4 +1,4 @@
-//! Instances whose network links carry little, with real processes on the stand-in for the platform.
+//! Instances with low network bandwidth, with real processes on the stand-in for the platform.
 
 mod cluster;
 
@@ -18,23 +18,23 @@
 use tokio::time;
 
 const FIRST_PORT: u16 = 23_000;
-/// What a link of 10 Mbit/s carries.
+/// Bandwidth of a link of 10 Mbit/s.
 const THIN_LINK_BYTES_PER_SECOND: u64 = 1_250_000;
-/// Queues of a large desired state, and its bytes in the store.
+/// Number of queues of a large desired state, and its minimum size in the store.
 const MANY_QUEUES: usize = 4_245;
 const MIN_BYTES: usize = 750_000;
-/// How often something is looked for before it counts as missing, and the pause between.
+/// How often a condition is checked before the test fails, and the interval between checks.
 const MAX_POLLS: u32 = 100;
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A desired state with many queues that nobody uses.
+/// A desired state with many unused queues.
 fn large_desired_state(version: u64) -> Value {
     let state = load::large_desired_state(version, MANY_QUEUES);
     assert!(state.to_string().len() >= MIN_BYTES, "{} bytes", state.to_string().len());
     state
 }
 
-/// Asks an instance for the count of waiting jobs of a queue, and returns the status of the answer.
+/// Requests the number of pending jobs of a queue, and returns the status of the response.
 async fn pending_status(instance: &str, queue: &str) -> u16 {
     let call = Call {
         address: instance,
@@ -58,7 +58,7 @@
     false
 }
 
-/// Greets an instance, and returns its answer as it came.
+/// Sends a heartbeat to an instance, and returns the encoded response.
 async fn send_heartbeat(cluster: &Cluster, instance: usize, hello: &v1::PeerHello) -> Bytes {
     let call = Call {
         address: &cluster.instances[instance].peer_address,
@@ -71,21 +71,21 @@
     Client::default().call(&call).await.expect("an answer").body
 }
 
-/// A greeting from an instance that knows nothing.
+/// A heartbeat of an instance that knows nothing yet.
 fn first_heartbeat(address: &str) -> v1::PeerHello {
     v1::PeerHello { address: address.to_owned(), ..Default::default() }
 }
 
-/// Callers of two data centres were listed `no leader is known` for half a minute, though one instance led
-/// all the time at 2 % of its processor. A cancelled job went on being started, since no retry of its
-/// cancelling came through.
+/// Guards against heartbeat responses that time out because they contain the desired state.
 ///
-/// The desired state had grown to 772 KB. Each answer to a greeting carried all of it, five times a second, to
-/// each instance that did not have it yet; 10 Mbit/s carry 312 KB in the 250 ms after which a greeting counts
-/// as unanswered. So the leader seemed silent to 28 instances, and sent 12,000 KB a second in place of 450.
+/// Clients of two data centres got the error `no leader is known` for half a minute, although an instance led all the
+/// time with its CPU at 2 %. A cancelled job was still being started, since no retry of the cancellation came through.
+/// The desired state had grown to 772 KB. Each heartbeat response contained it, five times a second, for each instance
+/// that did not have it yet, but 10 Mbit/s carry only 312 KB in the 250 ms until a heartbeat times out. The leader
+/// therefore seemed unresponsive to 28 instances, and sent 12,000 KB a second instead of 450.
 #[test]
 fn heartbeat_responses_stay_small_with_a_large_desired_state() {
-    /// One hundredth of what a thin link carries in the time of a greeting.
+    /// One hundredth of what a thin link carries within the timeout of a heartbeat.
     const MAX_BYTES: usize = 3_000;
     cluster::run(FIRST_PORT, &[1.0], async |mut cluster| {
         cluster.cell.publish("config", &large_desired_state(2));
@@ -96,8 +96,8 @@
     });
 }
 
-/// The same cause at another place: a cell of hundreds of instances does nothing and fills the link of its leader, because
-/// each answer to a greeting lists them all.
+/// The same cause in another place: hundreds of idle instances fill the link of their leader, because each heartbeat
+/// response lists them all.
 #[test]
 fn heartbeat_responses_list_instances_only_to_those_without_the_list() {
     const INSTANCES: usize = 200;
@@ -119,9 +119,9 @@
     });
 }
 
-/// The same incident: the instances never had the new desired state, though the store answered each of
-/// their reads. The newest record came as 1,030 KB of text, which take 0.82 s over 10 Mbit/s; the read
-/// was given up after 0.7 s and made again from the beginning, without end.
+/// The same incident: the instances never got the new desired state, although the store responded to each of their
+/// reads. The newest record was sent as 1,030 KB of text, which take 0.82 s over 10 Mbit/s. The read timed out after
+/// 0.7 s and started over, endlessly.
 #[test]
 fn a_large_desired_state_arrives_over_a_thin_link() {
     let thin = Member { bytes_per_second: THIN_LINK_BYTES_PER_SECOND, ..Member::with_cpu(1.0) };
@@ -132,8 +132,8 @@
     });
 }
 
-/// An instance that the store does not answer any more has the changes of the desired state from others:
-/// its callers use a queue that was added meanwhile.
+/// An instance that can no longer reach the store obtains changes of the desired state from other instances: its
+/// clients can use a queue that was added meanwhile.
 #[test]
 fn an_instance_cut_off_from_the_store_learns_the_desired_state_from_others() {
     let members = [Member::with_cpu(1.0); 2];
--- a/lilacpass-node/tests/thin_store.rs
+++ b/lilacpass-node/tests/thin_store.rs
@@ -1,4 +1,4 @@
-//! Calls to the store whose length grows with the work of the cell, where the way to it carries little.
+//! Store calls whose size grows with the work of the cell, over a link with low bandwidth.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -19,14 +19,14 @@
     time::{self, Instant},
 };
 
-/// What a link of 2 Mbit/s carries.
+/// Bandwidth of a link of 2 Mbit/s.
 const LINK_MBPS: f64 = 2.0;
 const LINK_BYTES_PER_SECOND: f64 = 250_000.0;
-/// Small, so that what was sent and has not passed the link waits at its sender.
+/// Small, so that data that has not passed the link yet waits at the sender.
 const RECEIVE_BUFFER_BYTES: u32 = 16 * 1_024;
 const CHUNK_BYTES: usize = 4 * 1_024;
 
-/// An instance that finds the store at an address.
+/// An instance that uses the store at an address.
 fn node(store: &str) -> Rc<Node> {
     Rc::new(Node::new(instances::settings(store, LINK_MBPS)))
 }
@@ -36,13 +36,13 @@
     task::LocalSet::new().block_on(&runtime, test)
 }
 
-/// A link that carries so much in all, whatever the number of connections.
+/// A link whose bandwidth is shared by all connections.
 struct Link {
     free_at: Cell<Instant>,
 }
 
 impl Link {
-    /// Waits until so many bytes have passed.
+    /// Waits until `bytes` have passed.
     async fn transfer(&self, bytes: usize) {
         let transfer_time = Duration::from_secs_f64(bytes as f64 / LINK_BYTES_PER_SECOND);
         let passed_at = self.free_at.get().max(Instant::now()) + transfer_time;
@@ -51,7 +51,7 @@
     }
 }
 
-/// Opens a store behind a thin link, which answers each append that has arrived whole. Returns its address.
+/// Starts a store behind a thin link, which responds to each append that has arrived completely. Returns its address.
 fn open_thin_store() -> String {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES).expect("a small buffer");
@@ -80,7 +80,7 @@
     }
     let body = r#"{"offset":0,"end":1}"#;
     let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
-    // A caller that has served up reads no answer.
+    // A client that has given up does not read the response.
     let _closed = stream.write_all(answer.as_bytes()).await;
 }
 
@@ -92,9 +92,10 @@
     request.len() >= head_end + 4 + length
 }
 
-/// A leader with a thin link stores nothing any more, and no job is taken or served out. 300 KB of records have
-/// gathered, which take 1.2 s over 2 Mbit/s; the append is sent again after 90 ms, and again, beside
-/// those under way. All copies share the link, none is whole after 3 s, and new ones take their place.
+/// Guards against a leader with a thin link that cannot store anything any more, so that no job is accepted or
+/// assigned. 300 KB of records have accumulated, which take 1.2 s over 2 Mbit/s. The append was sent again after 90 ms,
+/// and again, besides the attempts in flight. All copies shared the link, none was complete after 3 s, and new ones
+/// took their place.
 #[test]
 fn a_large_append_is_stored_over_a_thin_link() {
     const RECORD_BYTES: usize = 300_000;
@@ -109,7 +110,8 @@
     });
 }
 
-/// Opens a store that has so many pages of jobs, each slow, and refuses each call whose number is in `refused`.
+/// Starts a store that has `pages` pages of jobs, each of which takes long, and that refuses each call whose number is
+/// in `refused`.
 fn open_paged_store(pages: u32, refused: fn(u32) -> bool) -> String {
     const PAGE_LATENCY: Duration = Duration::from_millis(900);
     let listener = server::listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
@@ -134,9 +136,9 @@
     address
 }
 
-/// Nobody leads for long. Reading all jobs transfer_time an instance with a thin link longer than the 2 s for which calls
-/// may go on failing; that time counted from the beginning of the reading, so the first refusal after it
-/// threw all pages away, and the next try began with the first page.
+/// Guards against a cell in which no instance leads for long. Reading all jobs over a thin link takes longer than the 2
+/// s for which calls may keep failing. That time was counted from the start of the read, so the first refusal after it
+/// discarded all pages, and the next attempt started over.
 #[test]
 fn a_late_refusal_does_not_restart_a_long_read() {
     run(async {
@@ -145,7 +147,8 @@
     });
 }
 
-/// An instance that waits for a store that refuses everything does not notice who leads meanwhile.
+/// Guards against an instance that waits for a store that refuses all calls, and meanwhile does not notice a new
+/// leader.
 #[test]
 fn a_read_is_abandoned_if_the_store_keeps_refusing() {
     run(async {
--- a/lilacpass-node/tests/trace.rs
+++ b/lilacpass-node/tests/trace.rs
@@ -1,4 +1,4 @@
-//! The table of a job from log files.
+//! The table of log lines about a job.
 
 use std::{env, fs};
 
