--- a/lilacpass-lead/src/asking.rs
+++ b/lilacpass-lead/src/advice_requests.rs
@@ -15,7 +15,7 @@
 };
 
 /// Most workers that one call for advice may name.
-pub(crate) const MOST_ASKED: usize = 100;
+pub(crate) const MAX_WORKERS_PER_CALL: usize = 100;
 /// Share of workers that are allowed, before a queue has shown its own.
 const GOOD_SHARE_AT_FIRST: f64 = 0.5;
 /// Weight of a new answer in the learned share.
@@ -36,10 +36,10 @@
     ///
     /// Its other tasks end soon after. With tickets at hand by then, the end of this step and the starts of the
     /// next are recorded together.
-    pub(crate) fn ask_for_next_steps(&mut self, done: StepName, now: Now) {
+    pub(crate) fn request_advice_for_next_steps(&mut self, done: StepName, now: Now) {
         let Some(entry) = self.jobs.get(&done.job) else { return };
         let is_quick = entry.job.queue.advice.is_some_and(|policy| policy.base_ms <= MOST_AHEAD_MS);
-        if !is_quick || !self.lanes.any_idle() {
+        if !is_quick || !self.lanes.has_idle() {
             return;
         }
         let next: Vec<StepName> = entry
@@ -50,13 +50,13 @@
             .filter(|name| !self.advice.contains_key(name))
             .collect();
         for name in next {
-            self.ask_advice(name, now);
+            self.request_advice(name, now);
         }
     }
 
     /// Asks which workers may run a step, unless a call is under way, its time has not come, or there is
     /// nobody to ask about.
-    pub(crate) fn ask_advice(&mut self, name: StepName, now: Now) {
+    pub(crate) fn request_advice(&mut self, name: StepName, now: Now) {
         let Some(entry) = self.jobs.get(&name.job) else { return };
         let Some(policy) = entry.job.queue.advice else { return };
         let known = self.advice.get(&name);
@@ -67,14 +67,14 @@
         if !self.lanes.may_call(&entry.job.queue.name, policy.base_ms as u64) {
             return;
         }
-        let waiting = entry.job.task_names(name).filter(|t| entry.wants_run(*t)).count() as u64;
+        let waiting = entry.job.task_names(name).filter(|t| entry.needs_run(*t)).count() as u64;
         if waiting == 0 {
             return;
         }
-        self.work.tries += 1;
+        self.work.steps_examined += 1;
         self.choose_home(name, &plan, now);
         let Some(entry) = self.jobs.get(&name.job) else { return };
-        let share = self.good_shares.get(&entry.job.queue.name).copied();
+        let share = self.allowed_shares.get(&entry.job.queue.name).copied();
         let wanted = Wanted {
             waiting,
             tasks: ((waiting as f64 * ASK_MARGIN) as u64).max(FEWEST_WANTED),
@@ -83,9 +83,10 @@
         let candidates = self.candidates(name, &plan, &wanted, now);
         if candidates.is_empty() {
             self.advice.entry(name).or_default().nobody_to_ask(now.steady_ms);
-            return self.review_asker(name, now);
+            return self.update_advice_queue(name, now);
         }
-        let mut workers = advice::choose(&candidates, wanted.tasks, wanted.good_share, MOST_ASKED);
+        let mut workers =
+            advice::choose(&candidates, wanted.tasks, wanted.good_share, MAX_WORKERS_PER_CALL);
         if workers.is_empty() {
             return;
         }
@@ -94,32 +95,32 @@
             workers.extend(self.unknown_workers(name, &plan, &workers, extra_workers(&policy)));
         }
         let expected_ms = (policy.base_ms + policy.per_worker_ms * workers.len() as f64) as u64;
-        let Some(lane) = self.lanes.take(&entry.job.queue.name, expected_ms) else { return };
+        let Some(lane) = self.lanes.acquire(&entry.job.queue.name, expected_ms) else { return };
         self.advice.entry(name).or_default().asking = true;
-        self.askers.remove(name);
+        self.advice_queue.remove(name);
         log::info!(
             step:% = name, waiting, workers = workers.len(), candidates = candidates.len(),
             expected_ms, lane = lane.0.as_str();
             "advice asked"
         );
-        self.effects.push(Effect::Advise { lane, step: name, workers, expected_ms });
+        self.effects.push(Effect::RequestAdvice { lane, step: name, workers, expected_ms });
     }
 
     /// Notes whether and when a step may ask.
-    pub(crate) fn review_asker(&mut self, step: StepName, now: Now) {
+    pub(crate) fn update_advice_queue(&mut self, step: StepName, now: Now) {
         let policy = self.jobs.get(&step.job).and_then(|entry| {
             let policy = entry.job.queue.advice?;
             Some((entry.job.queue.name.as_str(), policy.base_ms as u64))
         });
         let (Some((queue, base_ms)), Some(rank)) = (policy, self.waiting.rank_of(step)) else {
-            return self.askers.remove(step);
+            return self.advice_queue.remove(step);
         };
         match self.advice.get(&step) {
-            Some(advice) if advice.asking => self.askers.remove(step),
+            Some(advice) if advice.asking => self.advice_queue.remove(step),
             Some(advice) if now.steady_ms < advice.ask_from_ms => {
-                self.askers.pause(step, advice.ask_from_ms);
+                self.advice_queue.delay(step, advice.ask_from_ms);
             }
-            Some(_) | None => self.askers.open(rank, queue, base_ms),
+            Some(_) | None => self.advice_queue.enqueue(rank, queue, base_ms),
         }
     }
 
@@ -141,19 +142,19 @@
         let advice = self.advice.get(&name);
         let asked: HashSet<&WorkerName> = asked.iter().collect();
         let is_unknown = |worker: &&Worker| {
-            worker.listed
+            worker.registered
                 && !worker.draining
-                && need.fits(&worker.entry.capacity)
+                && need.fits(&worker.registration.capacity)
                 && place::is_eligible(worker, &entry.job.queue.service, plan)
-                && advice.is_none_or(|advice| advice.verdict(&worker.entry.name).is_none())
-                && !asked.contains(&worker.entry.name)
+                && advice.is_none_or(|advice| advice.verdict(&worker.registration.name).is_none())
+                && !asked.contains(&worker.registration.name)
         };
-        let most = most.min(MOST_ASKED.saturating_sub(asked.len()));
+        let most = most.min(MAX_WORKERS_PER_CALL.saturating_sub(asked.len()));
         let unknown = self.workers.values().filter(is_unknown).take(most);
-        unknown.map(|worker| worker.entry.name.clone()).collect()
+        unknown.map(|worker| worker.registration.name.clone()).collect()
     }
 
-    pub(crate) fn on_advised(
+    pub(crate) fn on_advice_received(
         &mut self,
         lane: &Lane,
         step: StepName,
@@ -161,14 +162,16 @@
         answer: Option<Advice>,
         now: Now,
     ) {
-        self.lanes.give_back(lane);
+        self.lanes.release(lane);
         let Some(entry) = self.jobs.get(&step.job) else { return };
         let good = answer.as_ref().map(|answer| answer.good.len());
         log::info!(step:% = step, asked = asked.len(), good:? = good; "advice answered");
         if let Some(answer) = &answer {
             let share = answer.good.len() as f64 / asked.len().max(1) as f64;
-            let learned =
-                self.good_shares.entry(entry.job.queue.name.clone()).or_insert(GOOD_SHARE_AT_FIRST);
+            let learned = self
+                .allowed_shares
+                .entry(entry.job.queue.name.clone())
+                .or_insert(GOOD_SHARE_AT_FIRST);
             *learned += (share - *learned) * GOOD_SHARE_WEIGHT;
         }
         let margin_ms = self.options.ticket_margin_ms;
@@ -180,11 +183,11 @@
         }
         if self.reservations.workers_of(step).iter().any(is_bad) {
             for worker in self.reservations.release(step) {
-                self.news.free(&worker);
+                self.pending_changes.mark_worker_freed(&worker);
             }
         }
-        self.news.change(step);
-        self.review_asker(step, now);
+        self.pending_changes.mark_step_changed(step);
+        self.update_advice_queue(step, now);
     }
 }
 
--- a/lilacpass-lead/src/schedule.rs
+++ b/lilacpass-lead/src/schedule.rs
@@ -13,9 +13,9 @@
     event::Now,
     hosts::{self, Chooser, Host},
     leader::Leader,
-    news::Digest,
     options::Mechanism,
-    outbox::After,
+    outbox::OnStored,
+    pending_changes::RoundScope,
     place,
     rank::Rank,
     worker::{Phase, RunKey, Worker},
@@ -29,23 +29,23 @@
     /// Places waiting tasks and asks for the advice that others need.
     pub(crate) fn schedule(&mut self, now: Now) {
         for worker in self.reservations.expire(now.steady_ms) {
-            self.news.free(&worker);
+            self.pending_changes.mark_worker_freed(&worker);
         }
-        let mut news = self.news.take(now.steady_ms);
-        self.tries_for_room = 0;
-        for step in self.askers.wake(now.steady_ms) {
-            self.review_asker(step, now);
+        let mut news = self.pending_changes.take(now.steady_ms);
+        self.preemption_searches = 0;
+        for step in self.advice_queue.take_due(now.steady_ms) {
+            self.update_advice_queue(step, now);
         }
-        self.ask_for_kept_room(now);
-        if self.turn.is_under_way() {
-            return self.schedule_in_turns(news, now);
+        self.request_advice_for_advance_reservations(now);
+        if self.scan.is_under_way() {
+            return self.schedule_by_scan(news, now);
         }
-        let end = self.work.tries + self.pressure.tries_a_round();
+        let end = self.work.steps_examined + self.pressure.max_steps_per_round();
         let mut due = self.due(&news);
         let mut last = None;
         while let Some(rank) = self.next_step(&due, last) {
-            if self.work.tries >= end {
-                return self.cut_round(rank, news, now);
+            if self.work.steps_examined >= end {
+                return self.end_round_early(rank, news, now);
             }
             match due.remove(&rank) {
                 Some(Scope::All) => self.place_step(rank.step, None, now),
@@ -53,19 +53,19 @@
                 None => {}
             }
             news.changed.remove(&rank.step);
-            if self.lanes.any_idle() {
-                self.ask_advice(rank.step, now);
+            if self.lanes.has_idle() {
+                self.request_advice(rank.step, now);
             }
             last = Some(rank);
         }
         if news.all {
-            self.turn.not_needed();
-            self.keep_room_ahead(now);
+            self.scan.reset_duration();
+            self.make_advance_reservations(now);
         }
     }
 
     /// The steps for which workers may have come into question since they were last looked at.
-    pub(crate) fn due(&self, news: &Digest) -> BTreeMap<Rank, Scope> {
+    pub(crate) fn due(&self, news: &RoundScope) -> BTreeMap<Rank, Scope> {
         if news.all {
             return self.waiting.in_order().map(|rank| (rank, Scope::All)).collect();
         }
@@ -75,7 +75,7 @@
             let allowed = news.freed.iter().filter_map(|worker| self.allowed_steps.get(worker));
             let advised = allowed.flatten().filter_map(|step| self.waiting.rank_of_advised(*step));
             due.extend(advised.map(|rank| (rank, Scope::Freed)));
-            due.extend(self.waiting.whole().map(|rank| (rank, Scope::All)));
+            due.extend(self.waiting.combined().map(|rank| (rank, Scope::All)));
         }
         let changed = news.changed.iter().filter_map(|step| self.waiting.rank_of(*step));
         due.extend(changed.map(|rank| (rank, Scope::All)));
@@ -85,11 +85,11 @@
     /// The step after `last` that is due or may ask for advice.
     fn next_step(&self, due: &BTreeMap<Rank, Scope>, last: Option<Rank>) -> Option<Rank> {
         let first = due.first_key_value().map(|(rank, _)| *rank);
-        if !self.lanes.any_idle() {
+        if !self.lanes.has_idle() {
             return first;
         }
         let may_call = |queue: &str, base_ms| self.lanes.may_call(queue, base_ms);
-        let asking = self.askers.next_after(last, may_call);
+        let asking = self.advice_queue.next_after(last, may_call);
         first.into_iter().chain(asking).min()
     }
 
@@ -102,19 +102,19 @@
     ) {
         let Some(entry) = self.jobs.get(&name.job) else { return };
         let mut waiting: Vec<TaskName> =
-            entry.job.task_names(name).filter(|task| entry.wants_run(*task)).collect();
+            entry.job.task_names(name).filter(|task| entry.needs_run(*task)).collect();
         if waiting.is_empty() {
             return;
         }
         let plan = entry.job.step_plan(name.step).clone();
-        self.work.tries += 1;
+        self.work.steps_examined += 1;
         self.choose_home(name, &plan, now);
         let mut hosts = self.hosts(name, &plan, among, now);
         let strays =
             among.is_none() && !hosts.is_empty() && !hosts.iter().any(|host| host.score.at_home);
         if strays && let Some(entry) = self.jobs.get_mut(&name.job) {
             // Its data centre is full or cut off; the next step looks for another.
-            entry.home = None;
+            entry.home_data_centre = None;
         }
         if plan.one_rack {
             hosts::keep_one_rack(&mut hosts, &plan, waiting.len());
@@ -130,9 +130,9 @@
         if missing > 0 && among.is_none() {
             let wanted = if plan.gang { wanted as u64 } else { missing };
             let may_preempt = !plan.lasting && self.options.uses(Mechanism::Preemption);
-            if may_preempt && self.tries_for_room < MOST_TRIES_FOR_ROOM {
-                self.tries_for_room += 1;
-                self.make_room(name, &plan, wanted, now);
+            if may_preempt && self.preemption_searches < MOST_TRIES_FOR_ROOM {
+                self.preemption_searches += 1;
+                self.preempt_for(name, &plan, wanted, now);
             }
         }
         if plan.gang {
@@ -179,17 +179,17 @@
     /// last are spread instead: each that is lost counts by itself.
     pub(crate) fn choose_home(&mut self, name: StepName, plan: &v1::WorkStep, now: Now) {
         let Some(entry) = self.jobs.get(&name.job) else { return };
-        if entry.home.is_some() || plan.lasting || !self.options.uses(Mechanism::Home) {
+        if entry.home_data_centre.is_some() || plan.lasting || !self.options.uses(Mechanism::Home) {
             return;
         }
         let service = entry.job.queue.service.as_str();
         let could_run = |worker: &&Worker| {
-            worker.takes_starts(now.steady_ms) && place::is_eligible(worker, service, plan)
+            worker.accepts_starts(now.steady_ms) && place::is_eligible(worker, service, plan)
         };
-        let roomy = self.workers_with_room(service, &place::need(plan));
+        let roomy = self.workers_fitting(service, &place::need(plan));
         let home = place::home(roomy.into_iter().filter(could_run), plan);
         if let Some(entry) = self.jobs.get_mut(&name.job) {
-            entry.home = home;
+            entry.home_data_centre = home;
         }
     }
 
@@ -209,15 +209,16 @@
         now: Now,
     ) -> Vec<Host> {
         let Some(entry) = self.jobs.get(&name.job) else { return Vec::new() };
-        let home = entry.home_of(plan);
+        let home = entry.home_for(plan);
         let need = place::need(plan);
         let Some(rank) = self.waiting.rank_of(name) else { return Vec::new() };
         let is_host = |worker: &&Worker| {
-            need.fits(&self.room_for(&rank, worker)) && self.could_start(worker, name, plan, now)
+            need.fits(&self.free_capacity_for(&rank, worker))
+                && self.could_start(worker, name, plan, now)
         };
         let open_to_all = among.is_none() && entry.job.queue.advice.is_none();
         let workers = if open_to_all {
-            self.workers_with_room(&entry.job.queue.service, &need)
+            self.workers_fitting(&entry.job.queue.service, &need)
         } else {
             self.allowed(name, among, now)
         };
@@ -225,14 +226,14 @@
             .into_iter()
             .filter(is_host)
             .map(|worker| Host {
-                name: worker.entry.name.clone(),
-                room: self.room_for(&rank, worker),
+                name: worker.registration.name.clone(),
+                room: self.free_capacity_for(&rank, worker),
                 clean: worker.health.is_clean()
-                    && !entry.failed_on.contains_key(&worker.entry.name),
+                    && !entry.failed_on.contains_key(&worker.registration.name),
                 rack: worker.rack().to_owned(),
                 score: place::Score::new(worker, plan, home),
-                capacity: worker.entry.capacity,
-                may_take: self.may_take(worker, name, plan),
+                capacity: worker.registration.capacity,
+                remaining_task_limit: self.remaining_task_limit(worker, name, plan),
             })
             .collect()
     }
@@ -266,15 +267,17 @@
         now: Now,
     ) -> bool {
         let Some(entry) = self.jobs.get(&name.job) else { return false };
-        worker.takes_starts(now.steady_ms)
+        worker.accepts_starts(now.steady_ms)
             && place::is_eligible(worker, &entry.job.queue.service, plan)
-            && (plan.lasting || !entry.keeps_off(&worker.entry.name, now.steady_ms))
+            && (plan.lasting || !entry.avoids(&worker.registration.name, now.steady_ms))
             && !self.would_disturb(worker, plan)
     }
 
     /// The room on a worker that is open to a step with this rank.
-    pub(crate) fn room_for(&self, rank: &Rank, worker: &Worker) -> Resources {
-        worker.room().minus(&self.reservations.kept_from(rank, &worker.entry.name))
+    pub(crate) fn free_capacity_for(&self, rank: &Rank, worker: &Worker) -> Resources {
+        worker
+            .free_capacity()
+            .minus(&self.reservations.reserved_before(rank, &worker.registration.name))
     }
 
     /// Whether a task of this step and those on the worker would disturb each other: one that fills
@@ -300,13 +303,13 @@
         let service = &entry.job.queue.service;
         let need = place::need(plan);
         let filled = self.workers.values().find(|worker| {
-            worker.takes_starts(now.steady_ms)
+            worker.accepts_starts(now.steady_ms)
                 && place::is_eligible(worker, service, plan)
-                && need.fits(&worker.room())
+                && need.fits(&worker.free_capacity())
                 && self.would_disturb(worker, plan)
         });
         let Some(worker) = filled else { return };
-        let host = worker.entry.name.clone();
+        let host = worker.registration.name.clone();
         let fills = |task: TaskName| self.plan_of(task).is_some_and(|plan| plan.fills);
         let stopped: Vec<RunKey> =
             worker.runs.keys().copied().filter(|(task, _)| fills(*task)).collect();
@@ -316,7 +319,12 @@
     }
 
     /// How many more tasks of a step a worker may run, by the step's own limit.
-    pub(crate) fn may_take(&self, worker: &Worker, name: StepName, plan: &v1::WorkStep) -> u64 {
+    pub(crate) fn remaining_task_limit(
+        &self,
+        worker: &Worker,
+        name: StepName,
+        plan: &v1::WorkStep,
+    ) -> u64 {
         if plan.max_per_worker == 0 {
             return u64::MAX;
         }
@@ -329,8 +337,8 @@
         let is_on_trial = entry.is_some_and(|entry| self.is_on_trial(entry, task));
         let Some(entry) = self.jobs.get_mut(&task.step.job) else { return };
         let data_centre = data_centre_of(&self.workers, &worker);
-        let Some(run) = entry.job.begin_run(task, worker.clone(), data_centre) else { return };
-        entry.copies.remove(&task);
+        let Some(run) = entry.job.assign_run(task, worker.clone(), data_centre) else { return };
+        entry.wanted_copies.remove(&task);
         self.record_start(task, run, worker.clone(), now);
         if is_on_trial {
             self.begin_trial(&worker, (task, run));
@@ -345,7 +353,7 @@
             .map(|worker| (worker.clone(), data_centre_of(&self.workers, worker)))
             .collect();
         let is_on_trial = entry.job.is_suspected(name.task(0));
-        let Some(run) = entry.job.begin_gang(name, &hosts) else { return };
+        let Some(run) = entry.job.assign_gang(name, &hosts) else { return };
         self.reservations.release(name);
         for (index, worker) in workers.iter().enumerate() {
             let task = name.task(index as u32);
@@ -360,15 +368,15 @@
     /// Records a start; its order follows once that is stored.
     fn record_start(&mut self, task: TaskName, run: u32, name: WorkerName, now: Now) {
         let need = self.need_of(task);
-        self.reservations.used(task.step, &name, &need);
-        self.waiting.note_start(task.step, now.steady_ms);
+        self.reservations.consume(task.step, &name, &need);
+        self.waiting.record_start(task.step, now.steady_ms);
         if let Some(worker) = self.workers.get_mut(&name) {
-            worker.give((task, run), need, Phase::Recording);
-            self.rooms.note(worker);
+            worker.assign((task, run), need, Phase::Recording);
+            self.capacity_index.update(worker);
         }
         log::info!(task:% = task, run, worker:% = name, need:% = need; "task placed");
-        self.outbox.waiting.states.insert(task.step.job);
-        self.outbox.then(After::Order { worker: name, task, run });
+        self.outbox.pending.states.insert(task.step.job);
+        self.outbox.when_stored(OnStored::SendStart { worker: name, task, run });
     }
 }
 
@@ -380,5 +388,5 @@
 }
 
 fn data_centre_of(workers: &BTreeMap<WorkerName, Worker>, name: &WorkerName) -> Arc<str> {
-    Arc::from(workers.get(name).map_or("", |worker| worker.entry.data_centre.as_str()))
+    Arc::from(workers.get(name).map_or("", |worker| worker.registration.data_centre.as_str()))
 }
--- a/lilacpass-lead/tests/world/worker.rs
+++ b/lilacpass-lead/tests/world/worker.rs
@@ -3,8 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lilacpass_core::Resources;
-use lilacpass_jobs::{End, How, TaskName, WorkerName};
-use lilacpass_lead::event::{CallError, EndRow, LookAnswer, Refusal, Registration, RunningRow};
+use lilacpass_jobs::{EndReason, RunEnd, TaskName, WorkerName};
+use lilacpass_lead::event::{
+    CallError, PollResponse, Refusal, Registration, ReportedEnd, ReportedRun,
+};
 
 /// How long a stop takes.
 const STOP_MS: u64 = 100;
@@ -18,7 +20,7 @@
     pub need: Resources,
     began_ms: u64,
     ends_ms: u64,
-    how: How,
+    how: EndReason,
 }
 
 impl Running {
@@ -35,15 +37,15 @@
     /// What it says that it has.
     pub capacity: Resources,
     /// What it had before it shrank, which counts until this time.
-    had: Vec<(u64, Resources)>,
+    earlier_capacities: Vec<(u64, Resources)>,
     pub alive: bool,
     /// Nobody reaches it, and it runs on.
-    pub cut: bool,
+    pub unreachable: bool,
     pub draining: bool,
     /// All that starts there fails.
-    pub spoils: bool,
+    pub fails_all_runs: bool,
     /// It is registered.
-    pub listed: bool,
+    pub registered: bool,
     /// Until when it is registered though it has crashed.
     pub stale_until_ms: u64,
     pub data_centre: &'static str,
@@ -53,18 +55,18 @@
     /// Tasks of which a run failed here, once for each.
     pub failed: Vec<TaskName>,
     /// Those of the done whose end was noted.
-    pub noted_done: BTreeSet<TaskName>,
+    pub recorded_done: BTreeSet<TaskName>,
     epoch: u64,
     lease_until_ms: u64,
-    ends: Vec<EndRow>,
+    ends: Vec<ReportedEnd>,
     next_end: u64,
     /// Ends up to this number were listed before a lease ran out: they may be noted too late, after
     /// the task was started elsewhere.
-    lapsed_upto: u64,
-    over: BTreeMap<TaskName, u32>,
+    last_end_at_expiry: u64,
+    last_ended_run: BTreeMap<TaskName, u32>,
     clock_ms: u64,
     /// Runs whose lease ran out.
-    pub lapsed: u64,
+    pub expired_run_count: u64,
     /// Runs that were told to stop.
     pub stopped: u64,
 }
@@ -76,26 +78,26 @@
             name: WorkerName::from(format!("w-{number}").as_str()),
             address: format!("10.0.0.{number}:80"),
             capacity,
-            had: Vec::new(),
+            earlier_capacities: Vec::new(),
             alive: true,
-            cut: false,
+            unreachable: false,
             draining: false,
-            spoils: false,
-            listed: true,
+            fails_all_runs: false,
+            registered: true,
             stale_until_ms: 0,
             data_centre: "here",
             runs: BTreeMap::new(),
             done: BTreeSet::new(),
             failed: Vec::new(),
-            noted_done: BTreeSet::new(),
+            recorded_done: BTreeSet::new(),
             epoch: 0,
             lease_until_ms: 0,
             ends: Vec::new(),
             next_end: 1,
-            lapsed_upto: 0,
-            over: BTreeMap::new(),
+            last_end_at_expiry: 0,
+            last_ended_run: BTreeMap::new(),
             clock_ms: CLOCK_AHEAD_MS,
-            lapsed: 0,
+            expired_run_count: 0,
             stopped: 0,
         }
     }
@@ -120,13 +122,13 @@
 
     /// Has another room from now on.
     pub fn set_capacity(&mut self, capacity: Resources, now_ms: u64) {
-        self.had.push((now_ms + SHRINKS_AFTER_MS, self.capacity));
+        self.earlier_capacities.push((now_ms + SHRINKS_AFTER_MS, self.capacity));
         self.capacity = capacity;
     }
 
     /// What runs there may take: a room that has shrunk counts after a while.
     pub fn limit(&self, now_ms: u64) -> Resources {
-        let had = self.had.iter().filter(|(until_ms, _)| now_ms < *until_ms);
+        let had = self.earlier_capacities.iter().filter(|(until_ms, _)| now_ms < *until_ms);
         had.fold(self.capacity, |limit, (_, capacity)| limit.max(capacity))
     }
 
@@ -147,9 +149,9 @@
         }
         if now_ms + CLOCK_AHEAD_MS > self.lease_until_ms {
             let lapsed: Vec<TaskName> = self.runs.keys().copied().collect();
-            self.lapsed += lapsed.len() as u64;
-            lapsed.into_iter().for_each(|task| self.end(task, How::Lapsed));
-            self.lapsed_upto = self.next_end - 1;
+            self.expired_run_count += lapsed.len() as u64;
+            lapsed.into_iter().for_each(|task| self.end(task, EndReason::Expired));
+            self.last_end_at_expiry = self.next_end - 1;
         }
         self.now_ms_is(now_ms);
     }
@@ -158,17 +160,17 @@
         self.clock_ms = now_ms + CLOCK_AHEAD_MS;
     }
 
-    fn end(&mut self, task: TaskName, how: How) {
+    fn end(&mut self, task: TaskName, how: EndReason) {
         let Some(run) = self.runs.remove(&task) else { return };
-        if how == How::Done {
+        if how == EndReason::Done {
             self.done.insert(task);
         }
-        if how == How::Failed {
+        if how == EndReason::Failed {
             self.failed.push(task);
         }
-        self.over.insert(task, run.run);
-        let end = End { run: run.run, how, checkpoint: String::new() };
-        self.ends.push(EndRow { number: self.next_end, task, end });
+        self.last_ended_run.insert(task, run.run);
+        let end = RunEnd { run: run.run, reason: how, checkpoint: String::new() };
+        self.ends.push(ReportedEnd { number: self.next_end, task, end });
         self.next_end += 1;
     }
 
@@ -180,30 +182,30 @@
         Ok(())
     }
 
-    pub fn look(
+    pub fn poll(
         &mut self,
         epoch: u64,
         lease_until_ms: Option<u64>,
-        forget_upto: u64,
-    ) -> Result<LookAnswer, CallError> {
+        forget_up_to: u64,
+    ) -> Result<PollResponse, CallError> {
         self.fence(epoch)?;
         if let Some(until_ms) = lease_until_ms {
             self.lease_until_ms = self.lease_until_ms.max(until_ms);
         }
-        for row in self.ends.iter().filter(|row| row.number <= forget_upto) {
-            if row.end.how == How::Done && row.number > self.lapsed_upto {
-                self.noted_done.insert(row.task);
+        for row in self.ends.iter().filter(|row| row.number <= forget_up_to) {
+            if row.end.reason == EndReason::Done && row.number > self.last_end_at_expiry {
+                self.recorded_done.insert(row.task);
             }
         }
-        self.ends.retain(|row| row.number > forget_upto);
-        let running = self.runs.iter().map(|(task, run)| RunningRow {
+        self.ends.retain(|row| row.number > forget_up_to);
+        let running = self.runs.iter().map(|(task, run)| ReportedRun {
             task: *task,
             run: run.run,
             checkpoint: String::new(),
             percent: run.percent(self.clock_ms - CLOCK_AHEAD_MS),
             gauge: 0,
         });
-        Ok(LookAnswer {
+        Ok(PollResponse {
             clock_ms: self.clock_ms,
             running: running.collect(),
             ends: self.ends.clone(),
@@ -229,7 +231,7 @@
         lease_until_ms: u64,
     ) -> Result<(), CallError> {
         self.fence(epoch)?;
-        if self.over.get(&task).is_some_and(|&over| run <= over) {
+        if self.last_ended_run.get(&task).is_some_and(|&over| run <= over) {
             return Err(CallError::Refused(Refusal::Old));
         }
         if lease_until_ms <= self.clock_ms {
@@ -249,7 +251,7 @@
         lasting: bool,
     ) {
         let ends_ms = if lasting { u64::MAX } else { ends_ms };
-        let how = if fails { How::Failed } else { How::Done };
+        let how = if fails { EndReason::Failed } else { EndReason::Done };
         let began_ms = self.clock_ms - CLOCK_AHEAD_MS;
         self.runs.insert(task, Running { run, need, began_ms, ends_ms, how });
     }
@@ -265,12 +267,12 @@
         match self.runs.get_mut(&task) {
             Some(running) if running.run <= run => {
                 running.ends_ms = running.ends_ms.min(now_ms + STOP_MS);
-                running.how = How::Stopped;
+                running.how = EndReason::Stopped;
                 self.stopped += 1;
             }
             Some(_) => {}
             None => {
-                let over = self.over.entry(task).or_insert(run);
+                let over = self.last_ended_run.entry(task).or_insert(run);
                 *over = (*over).max(run);
             }
         }
--- a/lilacpass-node/src/append.rs
+++ b/lilacpass-node/src/append.rs
@@ -8,7 +8,7 @@
 use lilacpass_lead::event::Record;
 use lilacpass_platform::{
     error::Result as CallResult,
-    store::{self, Append, Condition, Partition, Writer},
+    store::{self, AppendCondition, AppendOutcome, Partition, Writer},
 };
 use rand::RngExt;
 use tokio::time::{self, Instant};
@@ -60,7 +60,7 @@
     writer: Writer,
     records: &Bytes,
 ) -> Result<(), AppendError> {
-    let condition = Condition { at: None, writer: Some(writer) };
+    let condition = AppendCondition { expected_end: None, writer: Some(writer) };
     let transfer_time = node.settings.link.time_for(size::Bytes(records.len() as u64));
     let timeout = MAX_TIMEOUT + transfer_time * LINK_TIMEOUT_FACTOR;
     let send = || async {
@@ -70,7 +70,7 @@
         match &result {
             Ok(answer) => {
                 node.record_store_response();
-                if matches!(answer, Append::Stored { .. }) {
+                if matches!(answer, AppendOutcome::Stored { .. }) {
                     let took = sent.elapsed();
                     update_latency(node, took.saturating_sub(transfer_time));
                     if took >= SLOW_APPEND {
@@ -110,7 +110,7 @@
     transfer_time: Duration,
 ) -> Result<(), AppendError>
 where
-    F: Future<Output = CallResult<Append>>,
+    F: Future<Output = CallResult<AppendOutcome>>,
 {
     let mut in_flight = FuturesUnordered::new();
     let mut retry_interval =
@@ -133,8 +133,12 @@
             Some(answer) = in_flight.next() => answer,
         };
         match answer {
-            Ok(Append::Stored { .. }) => return Ok(()),
-            Ok(Append::Fenced | Append::Elsewhere { .. } | Append::OutOfSequence) => {
+            Ok(AppendOutcome::Stored { .. }) => return Ok(()),
+            Ok(
+                AppendOutcome::Fenced
+                | AppendOutcome::Elsewhere { .. }
+                | AppendOutcome::OutOfSequence,
+            ) => {
                 return Err(AppendError::Deposed);
             }
             Err(err) => {
--- a/lilacpass-node/src/desired_watch.rs
+++ b/lilacpass-node/src/desired_watch.rs
@@ -6,7 +6,7 @@
 use lilacpass_platform::{
     desired,
     error::Result,
-    store::{Partition, Placed, Read},
+    store::{Partition, ReadOutcome, StoredRecord},
 };
 use tokio::time;
 
@@ -25,7 +25,7 @@
 
 /// Watches the desired state for as long as the process runs.
 pub async fn run(node: Rc<Node>) {
-    let partition = Partition::of_platform(desired::TOPIC);
+    let partition = Partition::platform_topic(desired::TOPIC);
     let mut next = None;
     let mut failing_since_ms = None;
     loop {
@@ -81,18 +81,18 @@
 /// are written faster than the link can carry them, it would never catch up.
 async fn read_changes(node: &Node, partition: &Partition, from: u64) -> Result<Option<u64>> {
     match node.store.read(partition, from, POLL_WAIT, RESPONSE_TIMEOUT).await? {
-        Read::Records { records, end } => {
+        ReadOutcome::Records { records, end } => {
             node.record_store_response();
             records.iter().for_each(|placed| apply(node, placed));
             let next = records.last().map_or(from, |placed| placed.offset + 1);
             Ok(Some(next).filter(|next| end.saturating_sub(*next) < SKIP_TO_NEWEST_LAG))
         }
-        Read::Gone => Ok(None),
+        ReadOutcome::Gone => Ok(None),
     }
 }
 
 /// Adopts a record if it holds a desired state that can be decoded.
-fn apply(node: &Node, placed: &Placed) {
+fn apply(node: &Node, placed: &StoredRecord) {
     if placed.record.key != desired::KEY {
         return;
     }
--- a/lilacpass-node/src/election.rs
+++ b/lilacpass-node/src/election.rs
@@ -10,7 +10,7 @@
 use lilacpass_lead::event::Record;
 use lilacpass_platform::{
     Error,
-    store::{self, Append, Condition, Newest, Placed, Read},
+    store::{self, AppendCondition, AppendOutcome, NewestPage, ReadOutcome, StoredRecord},
 };
 use lilacpass_schema::v1;
 use prost::Message;
@@ -287,11 +287,13 @@
     let value = node.settings.instance.clone().into_bytes();
     let record = Record { key: CLAIM_KEY.to_owned(), value };
     let Ok(records) = store::encode_records(&[record]) else { return false };
-    let condition = Condition { at: Some(end), writer: None };
+    let condition = AppendCondition { expected_end: Some(end), writer: None };
     let partition = takeover::lead_partition();
     match node.store.append(&partition, condition, &records, CLAIM_TIMEOUT).await {
-        Ok(Append::Stored { .. }) => true,
-        Ok(Append::Elsewhere { .. } | Append::Fenced | Append::OutOfSequence) => false,
+        Ok(AppendOutcome::Stored { .. }) => true,
+        Ok(
+            AppendOutcome::Elsewhere { .. } | AppendOutcome::Fenced | AppendOutcome::OutOfSequence,
+        ) => false,
         Err(err) => {
             log::info!(error:% = err; "announcing the take-over failed");
             time::sleep(STORE_RETRY_PAUSE).await;
@@ -306,13 +308,13 @@
 /// instances, seven of nine noticed the new leader only 1.2 s after it had taken over, and refused their clients'
 /// requests until then.
 pub async fn wait_for_records(
-    read: impl Future<Output = Result<Read, Error>>,
+    read: impl Future<Output = Result<ReadOutcome, Error>>,
     max_wait: Duration,
-) -> Vec<Placed> {
+) -> Vec<StoredRecord> {
     let end = Instant::now() + max_wait;
     let records = match time::timeout_at(end, read).await {
-        Ok(Ok(Read::Records { records, .. })) => records,
-        Ok(Ok(Read::Gone)) | Err(_) => Vec::new(),
+        Ok(Ok(ReadOutcome::Records { records, .. })) => records,
+        Ok(Ok(ReadOutcome::Gone)) | Err(_) => Vec::new(),
         Ok(Err(err)) => {
             log::info!(error:% = err; "reading the records of the leader failed");
             Vec::new()
@@ -325,8 +327,8 @@
 }
 
 /// Decodes the newest leader record; `None` if there is none or it cannot be decoded.
-fn newest_lead_record(records: &[Placed]) -> Option<v1::LeadRecord> {
-    let is_lead = |placed: &&Placed| placed.record.key == takeover::LEAD_KEY;
+fn newest_lead_record(records: &[StoredRecord]) -> Option<v1::LeadRecord> {
+    let is_lead = |placed: &&StoredRecord| placed.record.key == takeover::LEAD_KEY;
     let placed = records.iter().filter(is_lead).max_by_key(|placed| placed.offset)?;
     v1::LeadRecord::decode(placed.record.value.as_slice())
         .inspect_err(
@@ -336,7 +338,7 @@
 }
 
 /// Whether another instance has announced a take-over since the leader last wrote.
-fn claimed_by_other(node: &Node, page: &Newest) -> bool {
+fn claimed_by_other(node: &Node, page: &NewestPage) -> bool {
     let offset = |key: &str| {
         page.records.iter().find(|placed| placed.record.key == key).map(|placed| placed.offset)
     };
--- a/lilacpass-node/src/frontend.rs
+++ b/lilacpass-node/src/frontend.rs
@@ -5,12 +5,12 @@
 use http::StatusCode;
 use lilacpass_core::Verdict;
 use lilacpass_lead::{
-    asks::retry_after_ms,
-    event::{Answer, Ask},
+    event::{Request, Response},
+    requests::retry_after_ms,
 };
 use lilacpass_platform::{
-    callers::{self, Wanted},
-    server::{Received, Reply},
+    callers::{self, Operation},
+    server::{ReceivedRequest, Reply},
 };
 use tokio::time::{self, Instant};
 
@@ -38,7 +38,7 @@
 const MAX_READY_SILENCE_MS: u64 = 400;
 
 /// Answers the platform's readiness check.
-pub async fn ready(node: Rc<Node>, received: Received) -> Reply {
+pub async fn ready(node: Rc<Node>, received: ReceivedRequest) -> Reply {
     if received.path != callers::READY_PATH {
         return Reply::error(StatusCode::NOT_FOUND, "no such path");
     }
@@ -65,7 +65,7 @@
 }
 
 /// Serves a client request.
-pub async fn serve(node: Rc<Node>, received: Received) -> Reply {
+pub async fn serve(node: Rc<Node>, received: ReceivedRequest) -> Reply {
     if received.path == callers::READY_PATH {
         return ready(node, received).await;
     }
@@ -100,7 +100,7 @@
 }
 
 /// Validates a request and has the leader execute it.
-async fn handle(node: &Node, received: &Received) -> Reply {
+async fn handle(node: &Node, received: &ReceivedRequest) -> Reply {
     let Some(published) = node.published() else {
         let retry_after_s = Some(NO_DESIRED_STATE_RETRY_S);
         let reply = Reply::error(StatusCode::SERVICE_UNAVAILABLE, "no desired state is known yet");
@@ -111,11 +111,11 @@
         Err(reply) => return reply,
     };
     let queue = &request.queue.policy;
-    let ask = match request.wanted {
-        Wanted::Submit(job, plan) => Ask::Submit { job, plan, queue: queue.clone() },
-        Wanted::State(job) => Ask::State(job),
-        Wanted::Cancel(job) => Ask::Cancel(job),
-        Wanted::Pending => Ask::Pending { queue: queue.name.clone() },
+    let ask = match request.operation {
+        Operation::Submit(job, plan) => Request::Submit { job, plan, queue: queue.clone() },
+        Operation::State(job) => Request::State(job),
+        Operation::Cancel(job) => Request::Cancel(job),
+        Operation::Pending => Request::Pending { queue: queue.name.clone() },
     };
     let timeout_ms = match request.queue.timeout_ms {
         0 => request.deadline_ms,
@@ -124,10 +124,10 @@
     let timeout = Duration::from_millis(timeout_ms).saturating_sub(RESPONSE_MARGIN);
     let answer = request_from_leader(node, ask, timeout).await;
     match &answer {
-        Answer::Refused { reason, .. } => {
+        Response::Refused { reason, .. } => {
             log::info!(method:% = received.method, path = received.path.as_str(), reason; "request refused");
         }
-        Answer::Uncertain => {
+        Response::Uncertain => {
             log::info!(method:% = received.method, path = received.path.as_str(); "outcome of request is uncertain");
         }
         _ => {}
@@ -137,7 +137,7 @@
 
 /// Sends a request to the leader, and to its successor if there is one, until there is a response or time is up. All
 /// client requests are idempotent, so they may be sent twice.
-async fn request_from_leader(node: &Node, ask: Ask, timeout: Duration) -> Answer {
+async fn request_from_leader(node: &Node, ask: Request, timeout: Duration) -> Response {
     let start = Instant::now();
     let end = start + timeout;
     let refuse_at = start + MAX_LEADER_WAIT.min(timeout);
@@ -180,10 +180,10 @@
         time::sleep(RETRY_PAUSE.min(end.saturating_duration_since(Instant::now()))).await;
     }
     if may_have_run {
-        return Answer::Uncertain;
+        return Response::Uncertain;
     }
     let retry_after_ms = retry_after_ms(leader_silent_ms(node));
-    Answer::Refused { reason: "no leader is known", retry_after_ms }
+    Response::Refused { reason: "no leader is known", retry_after_ms }
 }
 
 /// Time since the last response of the leader, in milliseconds.
@@ -192,9 +192,9 @@
 }
 
 /// Turns a refusal into an uncertain outcome if an earlier attempt may have been executed.
-fn account_for_earlier_attempts(answer: Answer, may_have_run: bool) -> Answer {
+fn account_for_earlier_attempts(answer: Response, may_have_run: bool) -> Response {
     match answer {
-        Answer::Refused { .. } if may_have_run => Answer::Uncertain,
+        Response::Refused { .. } if may_have_run => Response::Uncertain,
         answer => answer,
     }
 }
--- a/lilacpass-node/src/leader_handle.rs
+++ b/lilacpass-node/src/leader_handle.rs
@@ -3,7 +3,7 @@
 use lilacpass_jobs::JobKey;
 use lilacpass_lead::{
     Event,
-    event::{Answer, Ask},
+    event::{Request, Response},
 };
 use tokio::sync::{mpsc, oneshot, watch};
 
@@ -15,7 +15,7 @@
     /// An event for the leader's state machine.
     Event(Event),
     /// A client's request, with the channel for the response.
-    Ask(Ask, oneshot::Sender<Answer>),
+    Ask(Request, oneshot::Sender<Response>),
     /// The store has certainly not stored the append in progress.
     NotAppended {
         /// Sequence number of the next append.
@@ -53,7 +53,7 @@
 
     /// Sends a request to the leader. Returns `None` if the leader loop ended before it responded; the request may have
     /// been executed.
-    pub async fn ask(&self, ask: Ask) -> Option<Answer> {
+    pub async fn ask(&self, ask: Request) -> Option<Response> {
         let (sender, receiver) = oneshot::channel();
         self.messages.send(Message::Ask(ask, sender)).ok()?;
         receiver.await.ok()
--- a/lilacpass-node/src/leader_loop.rs
+++ b/lilacpass-node/src/leader_loop.rs
@@ -5,11 +5,11 @@
 use lilacpass_jobs::WorkerName;
 use lilacpass_lead::{
     Effect, Event, Leader, Now, Options,
-    event::{Answer, Lane, Record, Token},
+    event::{Lane, Record, RequestId, Response},
 };
 use lilacpass_platform::{
     store::{self, Writer},
-    workers::{Look, Start, Target},
+    workers::{PollOrder, StartOrder, Target},
 };
 use tokio::{
     sync::{mpsc, oneshot, watch},
@@ -73,7 +73,7 @@
     let bounds = &node.settings.bounds;
     let defaults = Options::default();
     Options {
-        lease_ms: defaults.lease_ms.min(bounds.longest_lease_ms),
+        lease_ms: defaults.lease_ms.min(bounds.max_lease_ms),
         retention_ms: defaults.retention_ms.max(bounds.retention_ms),
         ..defaults
     }
@@ -96,7 +96,7 @@
         let sent_ms = clock::now().steady_ms;
         let writer = Writer { epoch, sequence: first_sequence + renewal };
         let message = match append::store(&node, &partition, writer, &records).await {
-            Ok(()) => Message::Event(Event::Confirmed { sent_ms }),
+            Ok(()) => Message::Event(Event::LeadershipConfirmed { sent_ms }),
             Err(AppendError::Deposed) => Message::Deposed,
             Err(AppendError::NotStored) => {
                 time::sleep(RENEWAL_INTERVAL).await;
@@ -118,7 +118,7 @@
     leader: Leader,
     messages: mpsc::UnboundedSender<Message>,
     queue: IntakeQueue<Message>,
-    responders: HashMap<Token, oneshot::Sender<Answer>>,
+    responders: HashMap<RequestId, oneshot::Sender<Response>>,
     next_request_id: u64,
     next_sequence: u64,
     next_lanes_update_ms: u64,
@@ -174,11 +174,11 @@
         let now = clock::now();
         match message {
             Message::Event(event) => self.leader.handle(event, now),
-            Message::Ask(ask, caller) => {
-                let token = Token(self.next_request_id);
+            Message::Ask(request, caller) => {
+                let request_id = RequestId(self.next_request_id);
                 self.next_request_id += 1;
-                self.responders.insert(token, caller);
-                self.leader.handle(Event::Asked { token, ask }, now);
+                self.responders.insert(request_id, caller);
+                self.leader.handle(Event::Request { request_id, request }, now);
             }
             Message::NotAppended { next_sequence } => {
                 self.next_sequence = next_sequence;
@@ -231,7 +231,7 @@
         let pressure = self.leader.pressure();
         let behind = Duration::from_millis(pressure.behind_ms());
         self.node.metrics.pressure(pressure.level(), behind);
-        let tally = self.leader.take_tally();
+        let tally = self.leader.take_counters();
         self.node.metrics.record_counters(&tally);
     }
 
@@ -256,7 +256,7 @@
         if relays.is_empty() {
             return None;
         }
-        let data_centre = self.leader.answering_worker(worker)?;
+        let data_centre = self.leader.responsive_worker_data_centre(worker)?;
         relays.relay_for(worker, data_centre)
     }
 
@@ -276,23 +276,28 @@
 
     fn execute_effect(&mut self, effect: Effect) {
         match effect {
-            Effect::Reply { token, answer } => {
-                if let Some(caller) = self.responders.remove(&token) {
+            Effect::Reply { request_id, response } => {
+                if let Some(caller) = self.responders.remove(&request_id) {
                     // The client may have disconnected.
-                    let _disconnected = caller.send(answer);
+                    let _disconnected = caller.send(response);
                 }
             }
             Effect::Append(records) => self.append(records),
-            Effect::Look {
+            Effect::Poll {
                 worker,
                 address,
                 lease_until_ms,
-                forget_upto,
+                forget_up_to,
                 wait_ms,
                 answer_ms,
                 extra,
             } => {
-                let look = Look { lease_until_ms, forget_upto, wait_ms, answer_ms };
+                let look = PollOrder {
+                    lease_until_ms,
+                    forget_up_to,
+                    wait_ms,
+                    response_timeout_ms: answer_ms,
+                };
                 let route = if extra { None } else { self.relay_for(&worker, 0) };
                 let node = self.node.clone();
                 let epoch = self.epoch;
@@ -302,7 +307,7 @@
                     let sent = time::Instant::now();
                     let result = orders::poll(&node, route, target, look).await;
                     node.metrics.order("look", metrics::outcome(&result), sent.elapsed());
-                    Event::Looked { worker, sent_ms, extra, result }
+                    Event::Polled { worker, sent_ms, extra, result }
                 });
             }
             Effect::Start {
@@ -320,7 +325,7 @@
                 let epoch = self.epoch;
                 self.spawn(async move {
                     let target = Target { name: &worker, address: &address, epoch };
-                    let start = Start {
+                    let start = StartOrder {
                         task,
                         run,
                         payload: &payload,
@@ -346,7 +351,7 @@
                     Event::Stopped { worker, task, run, result }
                 });
             }
-            Effect::Advise { lane, step, workers, expected_ms } => {
+            Effect::RequestAdvice { lane, step, workers, expected_ms } => {
                 let node = self.node.clone();
                 self.spawn(async move {
                     let timeout = Duration::from_millis(expected_ms) + ADVICE_SLACK;
@@ -355,7 +360,7 @@
                     } else {
                         peers::advise_through_peer(&node, &lane.0, step, &workers, timeout).await
                     };
-                    Event::Advised { lane, step, asked: workers, advice }
+                    Event::AdviceReceived { lane, step, asked: workers, advice }
                 });
             }
             Effect::Deposed => {
@@ -367,7 +372,7 @@
 
     /// Stores records in the job log, and reports the result to the event loop.
     fn append(&mut self, records: Vec<Record>) {
-        let calls = append::split(&records, self.node.settings.store_call_bytes);
+        let calls = append::split(&records, self.node.settings.max_append_bytes);
         let first_sequence = self.next_sequence;
         self.next_sequence += calls.len() as u64;
         let node = self.node.clone();
--- a/lilacpass-node/src/metrics.rs
+++ b/lilacpass-node/src/metrics.rs
@@ -6,8 +6,8 @@
 use http::StatusCode;
 use lilacpass_jobs::failure::Cause;
 use lilacpass_lead::{
+    counters::{Counters, WorkerLoss},
     pressure::Level,
-    tally::{Loss, Tally},
 };
 use lilacpass_platform::server::Reply;
 use opentelemetry::{
@@ -166,8 +166,8 @@
     }
 
     /// Adds the counts of events in the cell since the last call.
-    pub fn record_counters(&self, tally: &Tally) {
-        for loss in Loss::ALL {
+    pub fn record_counters(&self, tally: &Counters) {
+        for loss in WorkerLoss::ALL {
             let how = KeyValue::new("how", loss.as_str());
             self.workers_lost.add(tally.workers_lost(loss), &[how]);
         }
--- a/lilacpass-node/src/orders.rs
+++ b/lilacpass-node/src/orders.rs
@@ -8,8 +8,8 @@
 
 use lilacpass_core::Verdict;
 use lilacpass_jobs::TaskName;
-use lilacpass_lead::event::{CallError, LookAnswer, Refusal};
-use lilacpass_platform::workers::{self, Look, Start, Target};
+use lilacpass_lead::event::{CallError, PollResponse, Refusal};
+use lilacpass_platform::workers::{self, PollOrder, StartOrder, Target};
 use tokio::time;
 
 use crate::{
@@ -38,15 +38,15 @@
     node: &Rc<Node>,
     route: Route,
     target: Target<'_>,
-    look: Look,
-) -> Result<LookAnswer, CallError> {
+    look: PollOrder,
+) -> Result<PollResponse, CallError> {
     let Some(relay) = route else {
-        let result = Box::pin(node.workers.look(target, look)).await;
+        let result = Box::pin(node.workers.poll(target, look)).await;
         node.relays.borrow_mut().record_direct_poll(target.name, result.is_ok());
         return result;
     };
     let order = relay_messages::poll(target.name.as_str(), target.address, look);
-    let execution_timeout = Duration::from_millis(look.wait_ms + look.answer_ms);
+    let execution_timeout = Duration::from_millis(look.wait_ms + look.response_timeout_ms);
     match relay_client::execute(node, &relay, order, execution_timeout).await {
         RelayResult::Outcome(Ok(Some(answer))) => Ok(answer),
         // The relay reported the outcome of some other order.
@@ -58,7 +58,7 @@
             Err(err)
         }
         RelayResult::Lost(_) => {
-            Box::pin(node.workers.look(target, Look { wait_ms: 0, ..look })).await
+            Box::pin(node.workers.poll(target, PollOrder { wait_ms: 0, ..look })).await
         }
     }
 }
@@ -68,7 +68,7 @@
     node: &Rc<Node>,
     route: Route,
     target: Target<'_>,
-    start: Start<'_>,
+    start: StartOrder<'_>,
 ) -> Result<(), CallError> {
     let order = || relay_messages::start(target.name.as_str(), target.address, start);
     send_order(node, route, order, || Box::pin(node.workers.start(target, start))).await
--- a/lilacpass-node/src/peers.rs
+++ b/lilacpass-node/src/peers.rs
@@ -7,13 +7,13 @@
 use http::{Method, StatusCode};
 use lilacpass_core::{Verdict, size};
 use lilacpass_jobs::{JobKey, StepName, WorkerName};
-use lilacpass_lead::event::{Advice, Answer, Ask, JobState, TicketRow};
+use lilacpass_lead::event::{Advice, JobState, Request, Response, WorkerTicket};
 use lilacpass_platform::{
     advice,
-    client::{Call, Response},
+    client::{Call, Response as HttpResponse},
     desired::Limits,
     error::{Error, Result},
-    server::{Received, Reply},
+    server::{ReceivedRequest, Reply},
 };
 use lilacpass_schema::v1;
 use prost::Message;
@@ -44,7 +44,7 @@
 }
 
 /// Handles a request of a peer or an operator.
-pub async fn serve(node: Rc<Node>, received: Received) -> Reply {
+pub async fn serve(node: Rc<Node>, received: ReceivedRequest) -> Reply {
     let body = match received.path.as_str() {
         HELLO_PATH => {
             decode(&received.body).map(|hello| handle_heartbeat(&node, hello).encode_to_vec())
@@ -171,7 +171,7 @@
     Call { address, method: Method::POST, path, headers: &[], body, timeout }
 }
 
-fn read_response<M: Message + Default>(response: &Response) -> Result<M> {
+fn read_response<M: Message + Default>(response: &HttpResponse) -> Result<M> {
     if response.status != StatusCode::OK {
         return Err(Error::Status(response.status.as_u16()));
     }
@@ -260,7 +260,7 @@
 #[derive(Debug)]
 pub enum Forwarded {
     /// The leader responded.
-    Answered(Answer),
+    Answered(Response),
     /// The receiver does not lead and has not executed the request.
     NotLeading,
     /// No response; the verdict says whether the request may have been executed.
@@ -268,7 +268,7 @@
 }
 
 /// Forwards a request to the leader.
-pub async fn forward(node: &Node, address: &str, ask: &Ask, timeout: Duration) -> Forwarded {
+pub async fn forward(node: &Node, address: &str, ask: &Request, timeout: Duration) -> Forwarded {
     let message = encode_ask(ask);
     match post::<v1::PeerWorkReply>(node, address, WORK_PATH, &message, timeout).await {
         Ok(reply) => decode_answer(ask, reply),
@@ -289,24 +289,24 @@
     }
 }
 
-fn encode_ask(ask: &Ask) -> v1::PeerWork {
+fn encode_ask(ask: &Request) -> v1::PeerWork {
     let mut work = v1::PeerWork::default();
     match ask {
-        Ask::Submit { job, plan, queue } => {
+        Request::Submit { job, plan, queue } => {
             work.set_op(v1::WorkOp::WorkSubmit);
             work.job = job.0;
             work.plan = Some(plan.clone());
             work.queue = Some(queue.clone());
         }
-        Ask::State(job) => {
+        Request::State(job) => {
             work.set_op(v1::WorkOp::WorkState);
             work.job = job.0;
         }
-        Ask::Cancel(job) => {
+        Request::Cancel(job) => {
             work.set_op(v1::WorkOp::WorkCancel);
             work.job = job.0;
         }
-        Ask::Pending { queue } => {
+        Request::Pending { queue } => {
             work.set_op(v1::WorkOp::WorkPending);
             work.queue = Some(v1::QueuePolicy { name: queue.clone(), ..Default::default() });
         }
@@ -314,13 +314,13 @@
     work
 }
 
-fn decode_ask(work: v1::PeerWork) -> Option<Ask> {
+fn decode_ask(work: v1::PeerWork) -> Option<Request> {
     let job = JobKey(work.job);
     Some(match work.op() {
-        v1::WorkOp::WorkSubmit => Ask::Submit { job, plan: work.plan?, queue: work.queue? },
-        v1::WorkOp::WorkState => Ask::State(job),
-        v1::WorkOp::WorkCancel => Ask::Cancel(job),
-        v1::WorkOp::WorkPending => Ask::Pending { queue: work.queue?.name },
+        v1::WorkOp::WorkSubmit => Request::Submit { job, plan: work.plan?, queue: work.queue? },
+        v1::WorkOp::WorkState => Request::State(job),
+        v1::WorkOp::WorkCancel => Request::Cancel(job),
+        v1::WorkOp::WorkPending => Request::Pending { queue: work.queue?.name },
     })
 }
 
@@ -339,48 +339,48 @@
     JobState::Cancelled,
 ];
 
-fn encode_answer(answer: &Answer) -> v1::PeerWorkReply {
+fn encode_answer(answer: &Response) -> v1::PeerWorkReply {
     match answer {
-        Answer::Done => reply(v1::WorkOutcome::WorkOk),
-        Answer::State(state) => {
+        Response::Done => reply(v1::WorkOutcome::WorkOk),
+        Response::State(state) => {
             let number = STATES.iter().position(|s| s == state).unwrap_or_default() as u64;
             v1::PeerWorkReply { pending: number, ..reply(v1::WorkOutcome::WorkOk) }
         }
-        Answer::Pending(pending) => {
+        Response::Pending(pending) => {
             v1::PeerWorkReply { pending: *pending, ..reply(v1::WorkOutcome::WorkOk) }
         }
-        Answer::UnknownJob => reply(v1::WorkOutcome::WorkUnknownJob),
-        Answer::Refused { reason, retry_after_ms } => v1::PeerWorkReply {
+        Response::UnknownJob => reply(v1::WorkOutcome::WorkUnknownJob),
+        Response::Refused { reason, retry_after_ms } => v1::PeerWorkReply {
             detail: (*reason).to_owned(),
             retry_after_ms: *retry_after_ms,
             ..reply(v1::WorkOutcome::WorkRefused)
         },
-        Answer::Invalid(reason) => {
+        Response::Invalid(reason) => {
             v1::PeerWorkReply { detail: reason.clone(), ..reply(v1::WorkOutcome::WorkInvalid) }
         }
-        Answer::Conflict => reply(v1::WorkOutcome::WorkConflict),
-        Answer::Uncertain => reply(v1::WorkOutcome::WorkUncertain),
+        Response::Conflict => reply(v1::WorkOutcome::WorkConflict),
+        Response::Uncertain => reply(v1::WorkOutcome::WorkUncertain),
     }
 }
 
-fn decode_answer(ask: &Ask, reply: v1::PeerWorkReply) -> Forwarded {
+fn decode_answer(ask: &Request, reply: v1::PeerWorkReply) -> Forwarded {
     let answer = match reply.outcome() {
         v1::WorkOutcome::WorkNotLeading => return Forwarded::NotLeading,
         v1::WorkOutcome::WorkOk => match ask {
-            Ask::Submit { .. } | Ask::Cancel(_) => Answer::Done,
-            Ask::State(_) => match STATES.get(reply.pending as usize) {
-                Some(&state) => Answer::State(state),
+            Request::Submit { .. } | Request::Cancel(_) => Response::Done,
+            Request::State(_) => match STATES.get(reply.pending as usize) {
+                Some(&state) => Response::State(state),
                 None => return Forwarded::Failed(Verdict::MayHaveRun),
             },
-            Ask::Pending { .. } => Answer::Pending(reply.pending),
+            Request::Pending { .. } => Response::Pending(reply.pending),
         },
-        v1::WorkOutcome::WorkUnknownJob => Answer::UnknownJob,
-        v1::WorkOutcome::WorkRefused => Answer::Refused {
+        v1::WorkOutcome::WorkUnknownJob => Response::UnknownJob,
+        v1::WorkOutcome::WorkRefused => Response::Refused {
             reason: "refused by the leader",
             retry_after_ms: reply.retry_after_ms,
         },
-        v1::WorkOutcome::WorkInvalid => Answer::Invalid(reply.detail),
-        v1::WorkOutcome::WorkConflict => Answer::Conflict,
+        v1::WorkOutcome::WorkInvalid => Response::Invalid(reply.detail),
+        v1::WorkOutcome::WorkConflict => Response::Conflict,
         v1::WorkOutcome::WorkUncertain => return Forwarded::Failed(Verdict::MayHaveRun),
     };
     Forwarded::Answered(answer)
@@ -407,7 +407,7 @@
     if !reply.answered {
         return None;
     }
-    let row = |row: v1::AdviceTicket| TicketRow {
+    let row = |row: v1::AdviceTicket| WorkerTicket {
         worker: WorkerName::from(row.worker.as_str()),
         ticket: row.ticket,
     };
@@ -425,7 +425,7 @@
     timeout: Duration,
 ) -> Option<Advice> {
     let address = node.settings.advice_address.as_deref()?;
-    let result = advice::ask(&node.client, address, step, workers, timeout).await;
+    let result = advice::request(&node.client, address, step, workers, timeout).await;
     node.metrics.advice(metrics::outcome(&result));
     result.inspect_err(|err| log::info!(step:% = step, error:% = err; "no advice")).ok()
 }
@@ -439,7 +439,7 @@
     let started = time::Instant::now();
     let Some(advice) = advise(node, step, &workers, timeout).await else { return no_advice };
     log::debug!(step:% = step, took_ms = started.elapsed().as_millis() as u64; "advice");
-    let row = |row: TicketRow| v1::AdviceTicket {
+    let row = |row: WorkerTicket| v1::AdviceTicket {
         worker: row.worker.as_str().to_owned(),
         ticket: row.ticket,
     };
--- a/lilacpass-node/src/registered_workers.rs
+++ b/lilacpass-node/src/registered_workers.rs
@@ -4,7 +4,7 @@
 
 use lilacpass_jobs::WorkerName;
 use lilacpass_lead::{Event, event::Registration};
-use lilacpass_platform::{registry, store::Placed};
+use lilacpass_platform::{registry, store::StoredRecord};
 
 /// Number of consecutive full reads that must lack a worker before it counts as gone. After the store has recovered,
 /// entries may appear late.
@@ -30,7 +30,7 @@
 impl RegisteredWorkers {
     /// Applies the newest entries of all workers. Returns events for all of them, so that a worker that the leader
     /// wrongly considers gone is restored.
-    pub fn apply_full_read(&mut self, records: Vec<Placed>) -> Vec<Event> {
+    pub fn apply_full_read(&mut self, records: Vec<StoredRecord>) -> Vec<Event> {
         for seen in self.seen.values_mut() {
             seen.missed_reads += 1;
         }
@@ -48,7 +48,7 @@
     ///
     /// Each worker writes its entry again and again, mostly unchanged. If the leader received an event for each of
     /// them, it would look for work for that worker each time.
-    pub fn apply_changes(&mut self, records: Vec<Placed>) -> Vec<Event> {
+    pub fn apply_changes(&mut self, records: Vec<StoredRecord>) -> Vec<Event> {
         let mut events = Vec::new();
         for placed in records {
             if placed.record.value.is_empty() {
@@ -61,9 +61,9 @@
     }
 
     /// An event that lists the worker as it was last seen.
-    fn last_listing(&self, placed: &Placed) -> Option<Event> {
+    fn last_listing(&self, placed: &StoredRecord) -> Option<Event> {
         let name = WorkerName::from(placed.record.key.as_str());
-        self.seen.get(&name)?.worker.clone().map(Event::WorkerListed)
+        self.seen.get(&name)?.worker.clone().map(Event::WorkerRegistered)
     }
 
     /// Whether the last read lacked a worker. Only a full read shows whether it is still missing.
@@ -72,7 +72,7 @@
     }
 
     /// Applies an entry. Returns an event if it has changed.
-    fn apply_entry(&mut self, placed: &Placed) -> Option<Event> {
+    fn apply_entry(&mut self, placed: &StoredRecord) -> Option<Event> {
         let key = placed.record.key.as_str();
         let name = WorkerName::from(key);
         let is_new = !self.seen.contains_key(&name);
@@ -86,20 +86,20 @@
             Ok(worker) if seen.worker.as_ref() == Some(&worker) => None,
             Ok(worker) => {
                 seen.worker = Some(worker.clone());
-                Some(Event::WorkerListed(worker))
+                Some(Event::WorkerRegistered(worker))
             }
             // Entries are written again and again, so this is logged only once until the entry can be decoded.
             Err(err) if is_new || seen.worker.is_some() => {
                 seen.worker = None;
                 log::warn!(worker = key, error:% = err; "ignoring a registration that cannot be decoded");
-                Some(Event::WorkerUnlisted(name))
+                Some(Event::WorkerUnregistered(name))
             }
             Err(_) => None,
         }
     }
 
     /// Marks an entry as removed. The worker counts as gone once a full read confirms it.
-    fn mark_removed(&mut self, placed: &Placed) {
+    fn mark_removed(&mut self, placed: &StoredRecord) {
         let name = WorkerName::from(placed.record.key.as_str());
         let Some(seen) = self.seen.get_mut(&name) else { return };
         if placed.offset > seen.offset {
@@ -114,7 +114,7 @@
             let is_gone = seen.missed_reads >= MIN_MISSED_READS;
             if is_gone {
                 log::info!(worker:% = name; "worker is no longer registered");
-                events.push(Event::WorkerUnlisted(name.clone()));
+                events.push(Event::WorkerUnregistered(name.clone()));
             }
             !is_gone
         });
--- a/lilacpass-node/src/registry_watch.rs
+++ b/lilacpass-node/src/registry_watch.rs
@@ -6,7 +6,7 @@
 use lilacpass_platform::{
     error::Result,
     registry,
-    store::{Partition, Placed, Read},
+    store::{Partition, ReadOutcome, StoredRecord},
 };
 use tokio::{
     sync::mpsc,
@@ -26,9 +26,9 @@
 /// Result of a read.
 enum RegistryRead {
     /// The newest entries of all workers, and the position from which to continue.
-    All(Vec<Placed>, u64),
+    All(Vec<StoredRecord>, u64),
     /// Records that were written since the last read, and the position from which to continue.
-    Changes(Vec<Placed>, u64),
+    Changes(Vec<StoredRecord>, u64),
     /// The store has deleted the records that were written since the last read.
     Truncated,
 }
@@ -66,7 +66,7 @@
                 continue;
             }
         };
-        events.push(Event::WorkersRead);
+        events.push(Event::RegistrationsRead);
         for event in events {
             if messages.send(Message::Event(event)).is_err() {
                 return;
@@ -79,11 +79,11 @@
 /// Reads the newest entry of each worker. Pages are not a consistent snapshot, so the next read continues from where
 /// the partition ended at the first page.
 async fn read_all(node: &Node) -> Result<RegistryRead> {
-    let partition = Partition::of_platform(registry::TOPIC);
+    let partition = Partition::platform_topic(registry::TOPIC);
     let mut records = Vec::new();
     let mut end = None;
     loop {
-        let after = records.last().map(|placed: &Placed| placed.record.key.clone());
+        let after = records.last().map(|placed: &StoredRecord| placed.record.key.clone());
         let page = node.store.newest(&partition, after.as_deref(), TIMEOUT).await?;
         node.record_store_response();
         let end = *end.get_or_insert(page.end);
@@ -97,13 +97,13 @@
 
 /// Reads the records from a position on.
 async fn read_changes(node: &Node, from: u64) -> Result<RegistryRead> {
-    let partition = Partition::of_platform(registry::TOPIC);
+    let partition = Partition::platform_topic(registry::TOPIC);
     let mut records = Vec::new();
     let mut next = from;
     loop {
         match node.store.read(&partition, next, Duration::ZERO, TIMEOUT).await? {
-            Read::Gone => return Ok(RegistryRead::Truncated),
-            Read::Records { records: read, end } => {
+            ReadOutcome::Gone => return Ok(RegistryRead::Truncated),
+            ReadOutcome::Records { records: read, end } => {
                 node.record_store_response();
                 next += read.len() as u64;
                 let is_complete = read.is_empty() || next >= end;
--- a/lilacpass-node/src/relay_messages.rs
+++ b/lilacpass-node/src/relay_messages.rs
@@ -1,9 +1,9 @@
 //! Conversion of orders and their outcomes to and from the messages between the leader and its relays.
 
 use lilacpass_core::Verdict;
-use lilacpass_jobs::{End, JobKey, StepName, TaskName};
-use lilacpass_lead::event::{CallError, EndRow, LookAnswer, Refusal, RunningRow};
-use lilacpass_platform::workers::{Look, Start};
+use lilacpass_jobs::{JobKey, RunEnd, StepName, TaskName};
+use lilacpass_lead::event::{CallError, PollResponse, Refusal, ReportedEnd, ReportedRun};
+use lilacpass_platform::workers::{PollOrder, StartOrder};
 use lilacpass_schema::v1;
 
 /// An order that has no number yet, and the payload if it is a start.
@@ -16,19 +16,19 @@
 }
 
 /// Encodes a poll of a worker.
-pub fn poll(worker: &str, address: &str, look: Look) -> Order {
+pub fn poll(worker: &str, address: &str, look: PollOrder) -> Order {
     let look = v1::RelayedLook {
         lease_until_ms: look.lease_until_ms,
-        forget_upto: look.forget_upto,
+        forget_upto: look.forget_up_to,
         wait_ms: look.wait_ms as u32,
-        answer_ms: look.answer_ms as u32,
+        answer_ms: look.response_timeout_ms as u32,
     };
     let message = v1::RelayedOrder { look: Some(look), ..addressed_to(worker, address) };
     Order { message, payload: String::new() }
 }
 
 /// Encodes a start.
-pub fn start(worker: &str, address: &str, start: Start<'_>) -> Order {
+pub fn start(worker: &str, address: &str, start: StartOrder<'_>) -> Order {
     let payload = start.payload.to_owned();
     let start = v1::RelayedStart {
         run: Some(write_run(start.task, start.run)),
@@ -66,12 +66,12 @@
 }
 
 /// Decodes a poll.
-pub fn read_poll(look: &v1::RelayedLook) -> Look {
-    Look {
+pub fn read_poll(look: &v1::RelayedLook) -> PollOrder {
+    PollOrder {
         lease_until_ms: look.lease_until_ms,
-        forget_upto: look.forget_upto,
+        forget_up_to: look.forget_upto,
         wait_ms: u64::from(look.wait_ms),
-        answer_ms: u64::from(look.answer_ms),
+        response_timeout_ms: u64::from(look.answer_ms),
     }
 }
 
@@ -100,7 +100,7 @@
 }
 
 /// Encodes the outcome of a poll.
-pub fn poll_outcome(number: u64, result: Result<LookAnswer, CallError>) -> v1::RelayedOutcome {
+pub fn poll_outcome(number: u64, result: Result<PollResponse, CallError>) -> v1::RelayedOutcome {
     match result {
         Ok(answer) => {
             let answer = Some(write_answer(answer));
@@ -113,7 +113,7 @@
 /// Decodes the outcome of an order, with the worker's response if it is a poll that succeeded.
 ///
 /// An outcome that is malformed counts as no outcome: the order may have been executed.
-pub fn read_outcome(message: v1::RelayedOutcome) -> Result<Option<LookAnswer>, CallError> {
+pub fn read_outcome(message: v1::RelayedOutcome) -> Result<Option<PollResponse>, CallError> {
     let refused = |refusal| Err(CallError::Refused(refusal));
     match message.outcome() {
         v1::OrderOutcome::OrderUncertain => Err(CallError::Failed(Verdict::MayHaveRun)),
@@ -135,17 +135,17 @@
     }
 }
 
-fn write_answer(answer: LookAnswer) -> v1::RelayedAnswer {
-    let running = |row: RunningRow| v1::RelayedRunning {
+fn write_answer(answer: PollResponse) -> v1::RelayedAnswer {
+    let running = |row: ReportedRun| v1::RelayedRunning {
         run: Some(write_run(row.task, row.run)),
         checkpoint: row.checkpoint,
         percent: row.percent,
         gauge: row.gauge,
     };
-    let end = |row: EndRow| v1::RelayedEnd {
+    let end = |row: ReportedEnd| v1::RelayedEnd {
         number: row.number,
         run: Some(write_run(row.task, row.end.run)),
-        how: row.end.how.as_str().to_owned(),
+        how: row.end.reason.as_str().to_owned(),
         checkpoint: row.end.checkpoint,
     };
     v1::RelayedAnswer {
@@ -158,18 +158,22 @@
 
 /// Decodes the response to a poll. Returns `None` if a row does not name its run: a run that is left out would count as
 /// gone, and its task would run twice.
-fn read_answer(answer: v1::RelayedAnswer) -> Option<LookAnswer> {
+fn read_answer(answer: v1::RelayedAnswer) -> Option<PollResponse> {
     let running = |row: v1::RelayedRunning| {
         let (task, run) = read_run(row.run.as_ref())?;
         let v1::RelayedRunning { checkpoint, percent, gauge, .. } = row;
-        Some(RunningRow { task, run, checkpoint, percent, gauge })
+        Some(ReportedRun { task, run, checkpoint, percent, gauge })
     };
     let end = |row: v1::RelayedEnd| {
         let (task, run) = read_run(row.run.as_ref())?;
         let how = row.how.parse().ok()?;
-        Some(EndRow { number: row.number, task, end: End { run, how, checkpoint: row.checkpoint } })
+        Some(ReportedEnd {
+            number: row.number,
+            task,
+            end: RunEnd { run, reason: how, checkpoint: row.checkpoint },
+        })
     };
-    Some(LookAnswer {
+    Some(PollResponse {
         clock_ms: answer.clock_ms,
         running: answer.running.into_iter().map(running).collect::<Option<_>>()?,
         ends: answer.ends.into_iter().map(end).collect::<Option<_>>()?,
--- a/lilacpass-node/src/relay_server.rs
+++ b/lilacpass-node/src/relay_server.rs
@@ -7,7 +7,7 @@
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
 use lilacpass_jobs::WorkerName;
-use lilacpass_platform::workers::{Start, Target};
+use lilacpass_platform::workers::{StartOrder, Target};
 use lilacpass_schema::v1;
 use tokio::{task, time};
 
@@ -63,7 +63,7 @@
     let target = Target { name: &worker, address: &order.address, epoch };
     let number = order.number;
     if let Some(look) = &order.look {
-        let result = node.workers.look(target, relay_messages::read_poll(look)).await;
+        let result = node.workers.poll(target, relay_messages::read_poll(look)).await;
         return Some(relay_messages::poll_outcome(number, result));
     }
     if let Some(start) = &order.start {
@@ -72,7 +72,7 @@
         else {
             return reject_incomplete(number);
         };
-        let start = Start {
+        let start = StartOrder {
             task,
             run,
             payload,
--- a/lilacpass-node/src/relays.rs
+++ b/lilacpass-node/src/relays.rs
@@ -12,7 +12,7 @@
 
 use lilacpass_core::{Verdict, rendezvous};
 use lilacpass_jobs::WorkerName;
-use lilacpass_lead::event::{CallError, LookAnswer};
+use lilacpass_lead::event::{CallError, PollResponse};
 use lilacpass_schema::v1;
 use serde_json::{Value, json};
 use tokio::sync::oneshot;
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub enum RelayResult {
     /// The relay executed the order; for a poll that succeeded, with the worker's response.
-    Outcome(Result<Option<LookAnswer>, CallError>),
+    Outcome(Result<Option<PollResponse>, CallError>),
     /// The relay reported no outcome. The verdict says whether the order may have been executed.
     Lost(Verdict),
 }
--- a/lilacpass-node/src/takeover.rs
+++ b/lilacpass-node/src/takeover.rs
@@ -4,7 +4,9 @@
 
 use lilacpass_jobs::{Job, JobKey, record};
 use lilacpass_lead::event::Record;
-use lilacpass_platform::store::{self, Append, Condition, Partition, Placed, Read, Writer};
+use lilacpass_platform::store::{
+    self, AppendCondition, AppendOutcome, Partition, ReadOutcome, StoredRecord, Writer,
+};
 use lilacpass_schema::v1;
 use prost::Message;
 use rand::RngExt;
@@ -36,12 +38,12 @@
 
 /// The partition that holds the jobs.
 pub fn jobs_partition() -> Partition {
-    Partition::of_cell("jobs", 0)
+    Partition::own_topic("jobs", 0)
 }
 
 /// The partition that holds the leader records and the announcements of take-overs.
 pub fn lead_partition() -> Partition {
-    Partition::of_cell("lead", 0)
+    Partition::own_topic("lead", 0)
 }
 
 /// The record that announces this instance as the leader.
@@ -86,14 +88,14 @@
         let epoch = end + 1;
         let writer = Writer { epoch, sequence };
         match append_leader_record(node, &partition, end, writer, &mut retries).await? {
-            Append::Stored { .. } => {
+            AppendOutcome::Stored { .. } => {
                 let took_ms = start.elapsed().as_millis() as u64;
                 let jobs = records.into_jobs();
                 log::info!(epoch, jobs = jobs.len(), took_ms; "took over");
                 return Some(NewLeadership { epoch, sequence, jobs });
             }
-            Append::Elsewhere { .. } => {}
-            Append::Fenced | Append::OutOfSequence => return None,
+            AppendOutcome::Elsewhere { .. } => {}
+            AppendOutcome::Fenced | AppendOutcome::OutOfSequence => return None,
         }
         end = read_tail(node, &partition, &mut records, end, &mut retries).await?;
         if records.other_leader_seen {
@@ -121,8 +123,8 @@
     end: u64,
     writer: Writer,
     retries: &mut RetryWindow,
-) -> Option<Append> {
-    let condition = Condition { at: Some(end), writer: Some(writer) };
+) -> Option<AppendOutcome> {
+    let condition = AppendCondition { expected_end: Some(end), writer: Some(writer) };
     let encoded = store::encode_records(&[lead_record(node, writer.epoch, 0)]).ok()?;
     loop {
         match node.store.append(partition, condition, &encoded, CALL_TIMEOUT).await {
@@ -185,8 +187,8 @@
 
 impl JobRecords {
     /// Keeps the newest record of each key.
-    fn insert(&mut self, placed: Placed) {
-        let Placed { offset, record: read } = placed;
+    fn insert(&mut self, placed: StoredRecord) {
+        let StoredRecord { offset, record: read } = placed;
         if read.key == LEAD_KEY {
             self.other_leader_seen |= self.reading_tail;
             return;
@@ -263,7 +265,7 @@
     let mut next = from;
     loop {
         match node.store.read(partition, next, Duration::ZERO, CALL_TIMEOUT).await {
-            Ok(Read::Records { records, end }) => {
+            Ok(ReadOutcome::Records { records, end }) => {
                 retries.record_success();
                 let read = records.len() as u64;
                 records.into_iter().for_each(|placed| job_records.insert(placed));
@@ -272,7 +274,7 @@
                     return Some(end);
                 }
             }
-            Ok(Read::Gone) => next = read_all(node, partition, job_records, retries).await?,
+            Ok(ReadOutcome::Gone) => next = read_all(node, partition, job_records, retries).await?,
             Err(err) => retries.wait_before_retry("tail", &err).await?,
         }
     }
--- a/lilacpass-node/tests/append.rs
+++ b/lilacpass-node/tests/append.rs
@@ -7,7 +7,7 @@
 use lilacpass_node::append;
 use lilacpass_platform::{
     error::Error,
-    store::{self, Append},
+    store::{self, AppendOutcome},
 };
 use tokio::time::{self, Instant};
 
@@ -55,7 +55,7 @@
             return Err(Error::Call(Verdict::MayHaveRun, "no answer in time".to_owned()));
         }
         time::sleep(LATENCY).await;
-        Ok(Append::Stored { end: 1 })
+        Ok(AppendOutcome::Stored { end: 1 })
     };
     assert_eq!(append::send_until_settled(send, LATENCY, Duration::ZERO).await, Ok(()));
     let late = begin.elapsed() - OUTAGE;
@@ -70,7 +70,7 @@
     let send = || async {
         calls.set(calls.get() + 1);
         time::sleep(LATENCY).await;
-        Ok(Append::Stored { end: 1 })
+        Ok(AppendOutcome::Stored { end: 1 })
     };
     assert_eq!(append::send_until_settled(send, LATENCY, Duration::ZERO).await, Ok(()));
     assert_eq!(calls.get(), 1);
@@ -89,7 +89,7 @@
                 Err(Error::Call(Verdict::MayHaveRun, "no answer in time".to_owned()))
             }
             2..=8 => Err(Error::Busy(503)),
-            _ => Ok(Append::Stored { end: 1 }),
+            _ => Ok(AppendOutcome::Stored { end: 1 }),
         }
     };
     assert_eq!(append::send_until_settled(send, Duration::ZERO, Duration::ZERO).await, Ok(()));
--- a/lilacpass-node/tests/cut_off.rs
+++ b/lilacpass-node/tests/cut_off.rs
@@ -11,7 +11,7 @@
 
 use lilacpass_platform_standin::{
     cell::Faults,
-    load::{HOST, Handed, QUEUES},
+    load::{HOST, QUEUES, SubmitOutcome},
 };
 use lilacpass_schema::v1;
 use tokio::{task, time};
@@ -71,7 +71,7 @@
             wait_for(&instance.callers_address, is_served).await;
         }
         let (key, handed) = cluster.callers.submit(QUEUES[0], long_running_job()).await;
-        assert_eq!(handed, Handed::Accepted);
+        assert_eq!(handed, SubmitOutcome::Accepted);
         let leader = cluster.callers.leader(&cluster.peer_addresses()).await.expect("one leads");
         let follower = cluster.instances[1 - leader].callers_address.clone();
         cluster.cell.faults.replace(Faults { store_slow_ms: 60_000, ..Faults::default() });
--- a/lilacpass-node/tests/registry_watch.rs
+++ b/lilacpass-node/tests/registry_watch.rs
@@ -6,9 +6,9 @@
 use lilacpass_jobs::WorkerName;
 use lilacpass_lead::{Event, event::Record};
 use lilacpass_node::{node::Node, registered_workers::RegisteredWorkers, registry_watch};
-use lilacpass_platform::store::Placed;
+use lilacpass_platform::store::StoredRecord;
 use lilacpass_platform_standin::{
-    cell::{Cell, Shape},
+    cell::{Cell, CellConfig},
     instances,
 };
 use tokio::{runtime, sync::mpsc, task, time};
@@ -16,12 +16,15 @@
 const GOOD: &str = r#"{"service": "s", "address": "10.0.0.1:80", "state": "ready"}"#;
 const DRAINS: &str = r#"{"service": "s", "address": "10.0.0.1:80", "state": "draining"}"#;
 
-fn placed(key: &str, offset: u64, value: &str) -> Placed {
-    Placed { offset, record: Record { key: key.to_owned(), value: value.as_bytes().to_vec() } }
+fn placed(key: &str, offset: u64, value: &str) -> StoredRecord {
+    StoredRecord {
+        offset,
+        record: Record { key: key.to_owned(), value: value.as_bytes().to_vec() },
+    }
 }
 
 fn is_listed(event: &Event, name: &str) -> bool {
-    matches!(event, Event::WorkerListed(entry) if entry.name == WorkerName::from(name))
+    matches!(event, Event::WorkerRegistered(entry) if entry.name == WorkerName::from(name))
 }
 
 /// Guards against assigning work to a worker after another writer has overwritten its entry.
@@ -31,7 +34,7 @@
     let events = registered.apply_full_read(vec![placed("w-1", 1, GOOD), placed("w-2", 2, "{}")]);
     assert_eq!(events.iter().filter(|event| is_listed(event, "w-1")).count(), 1);
     let events = registered.apply_full_read(vec![placed("w-1", 3, "{"), placed("w-2", 4, "{}")]);
-    assert_eq!(events, [Event::WorkerUnlisted(WorkerName::from("w-1"))]);
+    assert_eq!(events, [Event::WorkerUnregistered(WorkerName::from("w-1"))]);
     let events = registered.apply_full_read(vec![placed("w-1", 5, GOOD)]);
     let listed = events.iter().filter(|event| is_listed(event, "w-1")).count();
     assert_eq!(listed, 1, "and used again once it can be read");
@@ -43,7 +46,7 @@
     let mut registered = RegisteredWorkers::default();
     registered.apply_full_read(vec![placed("w-1", 1, GOOD)]);
     let events = registered.apply_changes(vec![placed("w-1", 2, "{")]);
-    assert_eq!(events, [Event::WorkerUnlisted(WorkerName::from("w-1"))]);
+    assert_eq!(events, [Event::WorkerUnregistered(WorkerName::from("w-1"))]);
     let events = registered.apply_changes(vec![placed("w-1", 3, GOOD)]);
     assert_eq!(events.iter().filter(|event| is_listed(event, "w-1")).count(), 1);
 }
@@ -55,7 +58,10 @@
     registered.apply_full_read(vec![placed("w-1", 1, GOOD)]);
     assert_eq!(registered.apply_changes(vec![placed("w-1", 2, GOOD), placed("w-1", 3, GOOD)]), []);
     let events = registered.apply_changes(vec![placed("w-1", 4, DRAINS)]);
-    assert!(matches!(&events[..], [Event::WorkerListed(entry)] if entry.draining), "{events:?}");
+    assert!(
+        matches!(&events[..], [Event::WorkerRegistered(entry)] if entry.draining),
+        "{events:?}"
+    );
 }
 
 /// Guards against a leader that goes on filling a worker after it has reported a smaller capacity.
@@ -70,7 +76,7 @@
         let events = registered.apply_changes(vec![placed("w-1", offset, &says(cpu))]);
         let room = Resources::new(u64::from(cpu), 100, 0, 0);
         assert!(
-            matches!(&events[..], [Event::WorkerListed(entry)] if entry.capacity == room),
+            matches!(&events[..], [Event::WorkerRegistered(entry)] if entry.capacity == room),
             "{events:?}"
         );
     }
@@ -84,7 +90,7 @@
     assert_eq!(registered.apply_changes(vec![placed("w-1", 3, ""), placed("w-2", 4, "")]), []);
     assert!(registered.has_missing());
     let events = registered.apply_full_read(vec![placed("w-2", 5, GOOD)]);
-    assert!(events.contains(&Event::WorkerUnlisted(WorkerName::from("w-1"))), "{events:?}");
+    assert!(events.contains(&Event::WorkerUnregistered(WorkerName::from("w-1"))), "{events:?}");
     assert!(events.iter().any(|event| is_listed(event, "w-2")), "{events:?}");
     assert!(!registered.has_missing());
 }
@@ -98,7 +104,7 @@
     assert!(registered.has_missing());
     assert_eq!(
         registered.apply_full_read(Vec::new()),
-        [Event::WorkerUnlisted(WorkerName::from("w-1"))]
+        [Event::WorkerUnregistered(WorkerName::from("w-1"))]
     );
 }
 
@@ -108,11 +114,11 @@
 fn watching_the_workers_leaves_a_thin_link_free() {
     const LINK_BYTES_PER_SECOND: u64 = 250_000;
     const LASTS: Duration = Duration::from_secs(4);
-    let shape = Shape {
+    let shape = CellConfig {
         workers: 200,
-        workers_a_data_centre: 40,
+        workers_per_data_centre: 40,
         capacity: Resources::new(16_000, 65_536, 0, 0),
-        registers_each: Duration::from_millis(1_500),
+        registration_interval: Duration::from_millis(1_500),
     };
     let runtime = runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     task::LocalSet::new().block_on(&runtime, async {
@@ -123,7 +129,7 @@
         time::sleep(LASTS).await;
         inbox.close();
         let most = LINK_BYTES_PER_SECOND * LASTS.as_secs() / 4;
-        let read: u64 = cell.calls.borrow().values().map(|calls| calls.answered_bytes).sum();
+        let read: u64 = cell.calls.borrow().values().map(|calls| calls.response_bytes).sum();
         assert!(read > 0 && read <= most, "{read} bytes, {most} at most");
     });
 }
--- a/lilacpass-node/tests/relay_state.rs
+++ b/lilacpass-node/tests/relay_state.rs
@@ -9,11 +9,12 @@
     relay_messages,
     relays::{RelayResult, Relays},
 };
-use lilacpass_platform::workers::Look;
+use lilacpass_platform::workers::PollOrder;
 use tokio::sync::oneshot;
 
 const CAPACITY: LeaderCapacity = LeaderCapacity { cpu_millis: 500, link: 0 };
-const POLL: Look = Look { lease_until_ms: None, forget_upto: 0, wait_ms: 800, answer_ms: 400 };
+const POLL: PollOrder =
+    PollOrder { lease_until_ms: None, forget_up_to: 0, wait_ms: 800, response_timeout_ms: 400 };
 /// Interval between reviews, in milliseconds.
 const REVIEW_MS: u64 = 200;
 
