--- a/lilacpass-node/src/append.rs
+++ b/lilacpass-node/src/append.rs
@@ -68,9 +68,9 @@
         let result = node.store.append(partition, condition, records, timeout).await;
         node.metrics.append(metrics::outcome(&result), sent.elapsed());
         match &result {
-            Ok(answer) => {
+            Ok(response) => {
                 node.record_store_response();
-                if matches!(answer, AppendOutcome::Stored { .. }) {
+                if matches!(response, AppendOutcome::Stored { .. }) {
                     let took = sent.elapsed();
                     update_latency(node, took.saturating_sub(transfer_time));
                     if took >= SLOW_APPEND {
@@ -79,7 +79,7 @@
                     }
                 } else {
                     log::info!(
-                        epoch = writer.epoch, sequence = writer.sequence, result:? = answer;
+                        epoch = writer.epoch, sequence = writer.sequence, result:? = response;
                         "append refused"
                     );
                 }
@@ -120,7 +120,7 @@
     let mut attempts = 0;
     let mut next_attempt = Instant::now();
     loop {
-        let answer = tokio::select! {
+        let response = tokio::select! {
             () = time::sleep_until(next_attempt) => {
                 in_flight.push(send());
                 attempts += 1;
@@ -130,9 +130,9 @@
                 next_attempt = Instant::now() + retry_interval;
                 continue;
             }
-            Some(answer) = in_flight.next() => answer,
+            Some(response) = in_flight.next() => response,
         };
-        match answer {
+        match response {
             Ok(AppendOutcome::Stored { .. }) => return Ok(()),
             Ok(
                 AppendOutcome::Fenced
--- a/lilacpass-node/src/bin/lilacpass-cell.rs
+++ b/lilacpass-node/src/bin/lilacpass-cell.rs
@@ -85,10 +85,10 @@
 
 fn run(command: Command) -> Result<String, Error> {
     match command {
-        Command::Instance { address } => ask(&address, operator_api::INSTANCE_PATH),
-        Command::Status { address } => ask(&address, operator_api::STATUS_PATH),
+        Command::Instance { address } => query(&address, operator_api::INSTANCE_PATH),
+        Command::Status { address } => query(&address, operator_api::STATUS_PATH),
         Command::Explain { job, address: Some(address), .. } => {
-            ask(&address, &format!("{}{job}", operator_api::EXPLAIN_PATH))
+            query(&address, &format!("{}{job}", operator_api::EXPLAIN_PATH))
         }
         Command::Explain { job, logs: Some(folder), .. } => {
             let lines = trace::read(&folder, job)?;
@@ -102,7 +102,7 @@
 }
 
 /// Queries an instance, and if it does not lead, the leader that it names.
-fn ask(address: &str, path: &str) -> Result<String, Error> {
+fn query(address: &str, path: &str) -> Result<String, Error> {
     let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
         let client = Client::default();
--- a/lilacpass-node/src/frontend.rs
+++ b/lilacpass-node/src/frontend.rs
@@ -111,7 +111,7 @@
         Err(reply) => return reply,
     };
     let queue = &request.queue.policy;
-    let ask = match request.operation {
+    let leader_request = match request.operation {
         Operation::Submit(job, plan) => Request::Submit { job, plan, queue: queue.clone() },
         Operation::State(job) => Request::State(job),
         Operation::Cancel(job) => Request::Cancel(job),
@@ -122,8 +122,8 @@
         timeout_ms => request.deadline_ms.min(timeout_ms),
     };
     let timeout = Duration::from_millis(timeout_ms).saturating_sub(RESPONSE_MARGIN);
-    let answer = request_from_leader(node, ask, timeout).await;
-    match &answer {
+    let response = request_from_leader(node, leader_request, timeout).await;
+    match &response {
         Response::Refused { reason, .. } => {
             log::info!(method:% = received.method, path = received.path.as_str(), reason; "request refused");
         }
@@ -132,12 +132,12 @@
         }
         _ => {}
     }
-    callers::encode(&answer)
+    callers::encode(&response)
 }
 
 /// Sends a request to the leader, and to its successor if there is one, until there is a response or time is up. All
 /// client requests are idempotent, so they may be sent twice.
-async fn request_from_leader(node: &Node, ask: Request, timeout: Duration) -> Response {
+async fn request_from_leader(node: &Node, request: Request, timeout: Duration) -> Response {
     let start = Instant::now();
     let end = start + timeout;
     let refuse_at = start + MAX_LEADER_WAIT.min(timeout);
@@ -150,16 +150,16 @@
         if now >= end || should_refuse && !may_have_run {
             break;
         }
-        let own = node.leader_handle.borrow().clone();
+        let own_leader = node.leader_handle.borrow().clone();
         let address = node.leader.borrow().address.clone();
         let forwarded = async {
-            match (own, address) {
-                (Some(lead), _) => match lead.ask(ask.clone()).await {
-                    Some(answer) => Forwarded::Answered(answer),
+            match (own_leader, address) {
+                (Some(leader), _) => match leader.request(request.clone()).await {
+                    Some(response) => Forwarded::Completed(response),
                     None => Forwarded::Failed(Verdict::MayHaveRun),
                 },
                 (None, Some(address)) if leader_silent_ms(node) < MAX_FORWARD_SILENCE_MS => {
-                    peers::forward(node, &address, &ask, end - now).await
+                    peers::forward(node, &address, &request, end - now).await
                 }
                 (None, _) => Forwarded::NotLeading,
             }
@@ -171,8 +171,8 @@
             () = time::sleep_until(end) => Forwarded::Failed(Verdict::MayHaveRun),
         };
         match forwarded {
-            Forwarded::Answered(answer) => {
-                return account_for_earlier_attempts(answer, may_have_run);
+            Forwarded::Completed(response) => {
+                return account_for_earlier_attempts(response, may_have_run);
             }
             Forwarded::NotLeading | Forwarded::Failed(Verdict::NotRun) => {}
             Forwarded::Failed(Verdict::MayHaveRun | Verdict::Ran) => may_have_run = true,
@@ -192,9 +192,9 @@
 }
 
 /// Turns a refusal into an uncertain outcome if an earlier attempt may have been executed.
-fn account_for_earlier_attempts(answer: Response, may_have_run: bool) -> Response {
-    match answer {
+fn account_for_earlier_attempts(response: Response, may_have_run: bool) -> Response {
+    match response {
         Response::Refused { .. } if may_have_run => Response::Uncertain,
-        answer => answer,
+        response => response,
     }
 }
--- a/lilacpass-node/src/leader_handle.rs
+++ b/lilacpass-node/src/leader_handle.rs
@@ -15,14 +15,14 @@
     /// An event for the leader's state machine.
     Event(Event),
     /// A client's request, with the channel for the response.
-    Ask(Request, oneshot::Sender<Response>),
+    Request(Request, oneshot::Sender<Response>),
     /// The store has certainly not stored the append in progress.
     NotAppended {
         /// Sequence number of the next append.
         next_sequence: u64,
     },
     /// An operator's query, with the channel for the response.
-    Inspect(Inspect, oneshot::Sender<serde_json::Value>),
+    Inspect(OperatorQuery, oneshot::Sender<serde_json::Value>),
     /// Another instance leads.
     Deposed,
     /// Hand leadership over, and continue to lead until that is done.
@@ -31,7 +31,7 @@
 
 /// A query of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Inspect {
+pub enum OperatorQuery {
     /// The state of the cell.
     Status,
     /// Why a job is in its current state.
@@ -53,16 +53,16 @@
 
     /// Sends a request to the leader. Returns `None` if the leader loop ended before it responded; the request may have
     /// been executed.
-    pub async fn ask(&self, ask: Request) -> Option<Response> {
+    pub async fn request(&self, request: Request) -> Option<Response> {
         let (sender, receiver) = oneshot::channel();
-        self.messages.send(Message::Ask(ask, sender)).ok()?;
+        self.messages.send(Message::Request(request, sender)).ok()?;
         receiver.await.ok()
     }
 
     /// Answers an operator's query. Returns `None` if the leader loop ended before it responded.
-    pub async fn inspect(&self, inspect: Inspect) -> Option<serde_json::Value> {
+    pub async fn inspect(&self, query: OperatorQuery) -> Option<serde_json::Value> {
         let (sender, receiver) = oneshot::channel();
-        self.messages.send(Message::Inspect(inspect, sender)).ok()?;
+        self.messages.send(Message::Inspect(query, sender)).ok()?;
         receiver.await.ok()
     }
 
--- a/lilacpass-node/src/leader_loop.rs
+++ b/lilacpass-node/src/leader_loop.rs
@@ -20,7 +20,7 @@
     append::{self, AppendError},
     clock, handover,
     intake::IntakeQueue,
-    leader_handle::{Inspect, LeaderHandle, Message},
+    leader_handle::{LeaderHandle, Message, OperatorQuery},
     metrics,
     node::{LeaderView, Node},
     orders, peers, registry_watch,
@@ -161,7 +161,7 @@
     /// Sorts a message into the queue of events or of requests.
     fn enqueue(&mut self, message: Message) {
         match message {
-            Message::Ask(..) | Message::Inspect(..) => self.queue.push_request(message),
+            Message::Request(..) | Message::Inspect(..) => self.queue.push_request(message),
             Message::Event(_)
             | Message::NotAppended { .. }
             | Message::Deposed
@@ -174,19 +174,19 @@
         let now = clock::now();
         match message {
             Message::Event(event) => self.leader.handle(event, now),
-            Message::Ask(request, caller) => {
+            Message::Request(request, client) => {
                 let request_id = RequestId(self.next_request_id);
                 self.next_request_id += 1;
-                self.responders.insert(request_id, caller);
+                self.responders.insert(request_id, client);
                 self.leader.handle(Event::Request { request_id, request }, now);
             }
             Message::NotAppended { next_sequence } => {
                 self.next_sequence = next_sequence;
                 self.leader.handle(Event::NotAppended, now);
             }
-            Message::Inspect(inspect, operator) => {
+            Message::Inspect(query, operator) => {
                 // The operator may have disconnected.
-                let _disconnected = operator.send(self.inspect(inspect));
+                let _disconnected = operator.send(self.inspect(query));
             }
             Message::Deposed => self.is_deposed = true,
             Message::Resign => {
@@ -198,11 +198,11 @@
     }
 
     /// Answers an operator's query as JSON.
-    fn inspect(&self, inspect: Inspect) -> serde_json::Value {
+    fn inspect(&self, query: OperatorQuery) -> serde_json::Value {
         let now = clock::now();
-        let value = match inspect {
-            Inspect::Status => self.status(now),
-            Inspect::Job(key) => serde_json::to_value(self.leader.explain(key, now)),
+        let value = match query {
+            OperatorQuery::Status => self.status(now),
+            OperatorQuery::Job(key) => serde_json::to_value(self.leader.explain(key, now)),
         };
         value.unwrap_or_else(|err| serde_json::json!({ "error": err.to_string() }))
     }
@@ -231,8 +231,8 @@
         let pressure = self.leader.pressure();
         let behind = Duration::from_millis(pressure.behind_ms());
         self.node.metrics.pressure(pressure.level(), behind);
-        let tally = self.leader.take_counters();
-        self.node.metrics.record_counters(&tally);
+        let counters = self.leader.take_counters();
+        self.node.metrics.record_counters(&counters);
     }
 
     /// Chooses the relays from the instances that are present.
@@ -277,9 +277,9 @@
     fn execute_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Reply { request_id, response } => {
-                if let Some(caller) = self.responders.remove(&request_id) {
+                if let Some(client) = self.responders.remove(&request_id) {
                     // The client may have disconnected.
-                    let _disconnected = caller.send(response);
+                    let _disconnected = client.send(response);
                 }
             }
             Effect::Append(records) => self.append(records),
@@ -292,7 +292,7 @@
                 answer_ms,
                 extra,
             } => {
-                let look = PollOrder {
+                let poll = PollOrder {
                     lease_until_ms,
                     forget_up_to,
                     wait_ms,
@@ -305,7 +305,7 @@
                     let sent_ms = clock::now().steady_ms;
                     let target = Target { name: &worker, address: &address, epoch };
                     let sent = time::Instant::now();
-                    let result = orders::poll(&node, route, target, look).await;
+                    let result = orders::poll(&node, route, target, poll).await;
                     node.metrics.order("look", metrics::outcome(&result), sent.elapsed());
                     Event::Polled { worker, sent_ms, extra, result }
                 });
--- a/lilacpass-node/src/metrics.rs
+++ b/lilacpass-node/src/metrics.rs
@@ -166,14 +166,14 @@
     }
 
     /// Adds the counts of events in the cell since the last call.
-    pub fn record_counters(&self, tally: &Counters) {
+    pub fn record_counters(&self, counters: &Counters) {
         for loss in WorkerLoss::ALL {
             let how = KeyValue::new("how", loss.as_str());
-            self.workers_lost.add(tally.workers_lost(loss), &[how]);
+            self.workers_lost.add(counters.workers_lost(loss), &[how]);
         }
         for cause in Cause::ALL {
             let kind = KeyValue::new("cause", cause.as_str());
-            self.jobs_failed.add(tally.jobs_failed(cause), &[kind]);
+            self.jobs_failed.add(counters.jobs_failed(cause), &[kind]);
         }
     }
 
--- a/lilacpass-node/src/operator_api.rs
+++ b/lilacpass-node/src/operator_api.rs
@@ -7,7 +7,7 @@
 use lilacpass_platform::server::Reply;
 use serde_json::{Value, json};
 
-use crate::{clock, leader_handle::Inspect, node::Node};
+use crate::{clock, leader_handle::OperatorQuery, node::Node};
 
 /// Path of the state of an instance.
 pub const INSTANCE_PATH: &str = "/operator/instance";
@@ -21,22 +21,22 @@
     if path == INSTANCE_PATH {
         return ok(&instance(node));
     }
-    let inspect = if path == STATUS_PATH {
-        Inspect::Status
+    let query = if path == STATUS_PATH {
+        OperatorQuery::Status
     } else if let Some(key) = path.strip_prefix(EXPLAIN_PATH) {
         match key.parse::<JobKey>() {
-            Ok(key) => Inspect::Job(key),
+            Ok(key) => OperatorQuery::Job(key),
             Err(err) => return Reply::error(StatusCode::BAD_REQUEST, &err.to_string()),
         }
     } else {
         return Reply::error(StatusCode::NOT_FOUND, "no such call");
     };
-    let lead = node.leader_handle.borrow().clone();
-    let answer = match lead {
-        Some(lead) => lead.inspect(inspect).await,
+    let leader = node.leader_handle.borrow().clone();
+    let response = match leader {
+        Some(leader) => leader.inspect(query).await,
         None => None,
     };
-    match answer {
+    match response {
         Some(Value::Null) => Reply::error(StatusCode::NOT_FOUND, "no such job"),
         Some(value) => ok(&value),
         None => {
--- a/lilacpass-node/src/orders.rs
+++ b/lilacpass-node/src/orders.rs
@@ -38,17 +38,17 @@
     node: &Rc<Node>,
     route: Route,
     target: Target<'_>,
-    look: PollOrder,
+    poll: PollOrder,
 ) -> Result<PollResponse, CallError> {
     let Some(relay) = route else {
-        let result = Box::pin(node.workers.poll(target, look)).await;
+        let result = Box::pin(node.workers.poll(target, poll)).await;
         node.relays.borrow_mut().record_direct_poll(target.name, result.is_ok());
         return result;
     };
-    let order = relay_messages::poll(target.name.as_str(), target.address, look);
-    let execution_timeout = Duration::from_millis(look.wait_ms + look.response_timeout_ms);
+    let order = relay_messages::poll(target.name.as_str(), target.address, poll);
+    let execution_timeout = Duration::from_millis(poll.wait_ms + poll.response_timeout_ms);
     match relay_client::execute(node, &relay, order, execution_timeout).await {
-        RelayResult::Outcome(Ok(Some(answer))) => Ok(answer),
+        RelayResult::Outcome(Ok(Some(response))) => Ok(response),
         // The relay reported the outcome of some other order.
         RelayResult::Outcome(Ok(None)) => Err(CallError::Failed(Verdict::MayHaveRun)),
         RelayResult::Outcome(Err(err)) => {
@@ -58,7 +58,7 @@
             Err(err)
         }
         RelayResult::Lost(_) => {
-            Box::pin(node.workers.poll(target, PollOrder { wait_ms: 0, ..look })).await
+            Box::pin(node.workers.poll(target, PollOrder { wait_ms: 0, ..poll })).await
         }
     }
 }
@@ -147,19 +147,19 @@
         return first.await;
     }
     let mut second = pin!(send());
-    let (answer, first_answered) = tokio::select! {
-        answer = &mut first => (answer, true),
-        answer = &mut second => (answer, false),
+    let (response, first_responded) = tokio::select! {
+        response = &mut first => (response, true),
+        response = &mut second => (response, false),
     };
-    if is_conclusive(&answer) {
-        return answer;
+    if is_conclusive(&response) {
+        return response;
     }
-    let other = if first_answered { second.await } else { first.await };
+    let other = if first_responded { second.await } else { first.await };
     if is_conclusive(&other) { other } else { Err(CallError::Failed(Verdict::MayHaveRun)) }
 }
 
 /// Whether the response to one copy also settles the other. A refusal for another reason does not: the other copy may
 /// arrive later, when the reason no longer holds, or may have arrived earlier and be the reason.
-fn is_conclusive(answer: &Result<(), CallError>) -> bool {
-    matches!(answer, Ok(()) | Err(CallError::OtherLife | CallError::Refused(Refusal::Fence)))
+fn is_conclusive(response: &Result<(), CallError>) -> bool {
+    matches!(response, Ok(()) | Err(CallError::OtherLife | CallError::Refused(Refusal::Fence)))
 }
--- a/lilacpass-node/src/peers.rs
+++ b/lilacpass-node/src/peers.rs
@@ -260,7 +260,7 @@
 #[derive(Debug)]
 pub enum Forwarded {
     /// The leader responded.
-    Answered(Response),
+    Completed(Response),
     /// The receiver does not lead and has not executed the request.
     NotLeading,
     /// No response; the verdict says whether the request may have been executed.
@@ -268,30 +268,35 @@
 }
 
 /// Forwards a request to the leader.
-pub async fn forward(node: &Node, address: &str, ask: &Request, timeout: Duration) -> Forwarded {
-    let message = encode_ask(ask);
+pub async fn forward(
+    node: &Node,
+    address: &str,
+    request: &Request,
+    timeout: Duration,
+) -> Forwarded {
+    let message = encode_request(request);
     match post::<v1::PeerWorkReply>(node, address, WORK_PATH, &message, timeout).await {
-        Ok(reply) => decode_answer(ask, reply),
+        Ok(reply) => decode_response(request, reply),
         Err(err) => Forwarded::Failed(err.verdict()),
     }
 }
 
 async fn handle_work(node: &Node, work: v1::PeerWork) -> v1::PeerWorkReply {
     let not_leading = || reply(v1::WorkOutcome::WorkNotLeading);
-    let Some(ask) = decode_ask(work) else {
+    let Some(request) = decode_request(work) else {
         let detail = "the request is incomplete".to_owned();
         return v1::PeerWorkReply { detail, ..reply(v1::WorkOutcome::WorkInvalid) };
     };
-    let Some(lead) = node.leader_handle.borrow().clone() else { return not_leading() };
-    match lead.ask(ask).await {
-        Some(answer) => encode_answer(&answer),
+    let Some(leader) = node.leader_handle.borrow().clone() else { return not_leading() };
+    match leader.request(request).await {
+        Some(response) => encode_response(&response),
         None => reply(v1::WorkOutcome::WorkUncertain),
     }
 }
 
-fn encode_ask(ask: &Request) -> v1::PeerWork {
+fn encode_request(request: &Request) -> v1::PeerWork {
     let mut work = v1::PeerWork::default();
-    match ask {
+    match request {
         Request::Submit { job, plan, queue } => {
             work.set_op(v1::WorkOp::WorkSubmit);
             work.job = job.0;
@@ -314,7 +319,7 @@
     work
 }
 
-fn decode_ask(work: v1::PeerWork) -> Option<Request> {
+fn decode_request(work: v1::PeerWork) -> Option<Request> {
     let job = JobKey(work.job);
     Some(match work.op() {
         v1::WorkOp::WorkSubmit => Request::Submit { job, plan: work.plan?, queue: work.queue? },
@@ -339,8 +344,8 @@
     JobState::Cancelled,
 ];
 
-fn encode_answer(answer: &Response) -> v1::PeerWorkReply {
-    match answer {
+fn encode_response(response: &Response) -> v1::PeerWorkReply {
+    match response {
         Response::Done => reply(v1::WorkOutcome::WorkOk),
         Response::State(state) => {
             let number = STATES.iter().position(|s| s == state).unwrap_or_default() as u64;
@@ -363,10 +368,10 @@
     }
 }
 
-fn decode_answer(ask: &Request, reply: v1::PeerWorkReply) -> Forwarded {
-    let answer = match reply.outcome() {
+fn decode_response(request: &Request, reply: v1::PeerWorkReply) -> Forwarded {
+    let response = match reply.outcome() {
         v1::WorkOutcome::WorkNotLeading => return Forwarded::NotLeading,
-        v1::WorkOutcome::WorkOk => match ask {
+        v1::WorkOutcome::WorkOk => match request {
             Request::Submit { .. } | Request::Cancel(_) => Response::Done,
             Request::State(_) => match STATES.get(reply.pending as usize) {
                 Some(&state) => Response::State(state),
@@ -383,7 +388,7 @@
         v1::WorkOutcome::WorkConflict => Response::Conflict,
         v1::WorkOutcome::WorkUncertain => return Forwarded::Failed(Verdict::MayHaveRun),
     };
-    Forwarded::Answered(answer)
+    Forwarded::Completed(response)
 }
 
 /// Requests advice through a peer.
--- a/lilacpass-node/src/relay_messages.rs
+++ b/lilacpass-node/src/relay_messages.rs
@@ -16,12 +16,12 @@
 }
 
 /// Encodes a poll of a worker.
-pub fn poll(worker: &str, address: &str, look: PollOrder) -> Order {
+pub fn poll(worker: &str, address: &str, poll: PollOrder) -> Order {
     let look = v1::RelayedLook {
-        lease_until_ms: look.lease_until_ms,
-        forget_upto: look.forget_up_to,
-        wait_ms: look.wait_ms as u32,
-        answer_ms: look.response_timeout_ms as u32,
+        lease_until_ms: poll.lease_until_ms,
+        forget_upto: poll.forget_up_to,
+        wait_ms: poll.wait_ms as u32,
+        answer_ms: poll.response_timeout_ms as u32,
     };
     let message = v1::RelayedOrder { look: Some(look), ..addressed_to(worker, address) };
     Order { message, payload: String::new() }
@@ -102,8 +102,8 @@
 /// Encodes the outcome of a poll.
 pub fn poll_outcome(number: u64, result: Result<PollResponse, CallError>) -> v1::RelayedOutcome {
     match result {
-        Ok(answer) => {
-            let answer = Some(write_answer(answer));
+        Ok(response) => {
+            let answer = Some(write_poll_response(response));
             v1::RelayedOutcome { answer, ..order_outcome(number, Ok(())) }
         }
         Err(err) => order_outcome(number, Err(err)),
@@ -128,14 +128,14 @@
         v1::OrderOutcome::OrderRefusedMalformed => refused(Refusal::Malformed),
         v1::OrderOutcome::OrderDone => match message.answer {
             None => Ok(None),
-            Some(answer) => {
-                read_answer(answer).map(Some).ok_or(CallError::Failed(Verdict::MayHaveRun))
+            Some(response) => {
+                read_poll_response(response).map(Some).ok_or(CallError::Failed(Verdict::MayHaveRun))
             }
         },
     }
 }
 
-fn write_answer(answer: PollResponse) -> v1::RelayedAnswer {
+fn write_poll_response(response: PollResponse) -> v1::RelayedAnswer {
     let running = |row: ReportedRun| v1::RelayedRunning {
         run: Some(write_run(row.task, row.run)),
         checkpoint: row.checkpoint,
@@ -149,16 +149,16 @@
         checkpoint: row.end.checkpoint,
     };
     v1::RelayedAnswer {
-        clock_ms: answer.clock_ms,
-        running: answer.running.into_iter().map(running).collect(),
-        ends: answer.ends.into_iter().map(end).collect(),
-        remaining_ms: answer.remaining_ms,
+        clock_ms: response.clock_ms,
+        running: response.running.into_iter().map(running).collect(),
+        ends: response.ends.into_iter().map(end).collect(),
+        remaining_ms: response.remaining_ms,
     }
 }
 
 /// Decodes the response to a poll. Returns `None` if a row does not name its run: a run that is left out would count as
 /// gone, and its task would run twice.
-fn read_answer(answer: v1::RelayedAnswer) -> Option<PollResponse> {
+fn read_poll_response(response: v1::RelayedAnswer) -> Option<PollResponse> {
     let running = |row: v1::RelayedRunning| {
         let (task, run) = read_run(row.run.as_ref())?;
         let v1::RelayedRunning { checkpoint, percent, gauge, .. } = row;
@@ -174,9 +174,9 @@
         })
     };
     Some(PollResponse {
-        clock_ms: answer.clock_ms,
-        running: answer.running.into_iter().map(running).collect::<Option<_>>()?,
-        ends: answer.ends.into_iter().map(end).collect::<Option<_>>()?,
-        remaining_ms: answer.remaining_ms,
+        clock_ms: response.clock_ms,
+        running: response.running.into_iter().map(running).collect::<Option<_>>()?,
+        ends: response.ends.into_iter().map(end).collect::<Option<_>>()?,
+        remaining_ms: response.remaining_ms,
     })
 }
--- a/lilacpass-node/tests/cut_off.rs
+++ b/lilacpass-node/tests/cut_off.rs
@@ -34,7 +34,7 @@
     stream.set_read_timeout(timeout).expect("a timeout");
     stream.write_all(head.as_bytes()).expect("sent");
     let mut bytes = [0; 1_024];
-    let read = stream.read(&mut bytes).expect("an answer");
+    let read = stream.read(&mut bytes).expect("a response");
     String::from_utf8_lossy(&bytes[..read]).to_lowercase()
 }
 
@@ -70,8 +70,8 @@
         for instance in &cluster.instances {
             wait_for(&instance.callers_address, is_served).await;
         }
-        let (key, handed) = cluster.callers.submit(QUEUES[0], long_running_job()).await;
-        assert_eq!(handed, SubmitOutcome::Accepted);
+        let (key, outcome) = cluster.callers.submit(QUEUES[0], long_running_job()).await;
+        assert_eq!(outcome, SubmitOutcome::Accepted);
         let leader = cluster.callers.leader(&cluster.peer_addresses()).await.expect("one leads");
         let follower = cluster.instances[1 - leader].callers_address.clone();
         cluster.cell.faults.replace(Faults { store_slow_ms: 60_000, ..Faults::default() });
@@ -79,7 +79,7 @@
         for _ in 0..REQUESTS {
             let to = follower.clone();
             let path = format!("/{}/{key}", QUEUES[0].name);
-            let head = task::spawn_blocking(move || get(&to, &path)).await.expect("asked");
+            let head = task::spawn_blocking(move || get(&to, &path)).await.expect("a result");
             refused += u32::from(!is_served(&head));
             time::sleep(POLL_INTERVAL).await;
         }
@@ -104,11 +104,11 @@
     let mut head = String::new();
     for _ in 0..MAX_POLLS {
         let to = address.to_owned();
-        head = task::spawn_blocking(move || request_pending_count(&to)).await.expect("asked");
+        head = task::spawn_blocking(move || request_pending_count(&to)).await.expect("a result");
         if is_expected(&head) {
             return;
         }
         time::sleep(POLL_INTERVAL).await;
     }
-    panic!("the answer is {head:?}");
+    panic!("the response is {head:?}");
 }
--- a/lilacpass-node/tests/desired_relay.rs
+++ b/lilacpass-node/tests/desired_relay.rs
@@ -54,11 +54,11 @@
 }
 
 /// Starts a peer that returns a desired state that cannot be decoded, and counts the requests. Returns its address.
-fn open_peer(asked: Rc<Cell<u32>>) -> String {
+fn open_peer(requests: Rc<Cell<u32>>) -> String {
     let listener = server::listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     let handler = move |_question| {
-        asked.set(asked.get() + 1);
+        requests.set(requests.get() + 1);
         let reply = v1::PeerConfigReply { config: b"unreadable".to_vec(), retry_after_ms: 0 };
         async move { Reply::body(StatusCode::OK, reply.encode_to_vec().into()) }
     };
@@ -73,16 +73,16 @@
 fn an_unreadable_desired_state_is_requested_once() {
     let runtime = runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     task::LocalSet::new().block_on(&runtime, async {
-        let asked = Rc::new(Cell::new(0));
-        let peer = open_peer(asked.clone());
+        let requests = Rc::new(Cell::new(0));
+        let peer = open_peer(requests.clone());
         let node = node();
         node.record_desired_source(5, &peer);
         task::spawn_local(desired_relay::run(node.clone()));
         time::sleep(Duration::from_secs(4)).await;
-        assert_eq!(asked.get(), 1);
+        assert_eq!(requests.get(), 1);
         // A later version may be readable.
         node.record_desired_source(6, &peer);
         time::sleep(Duration::from_secs(2)).await;
-        assert_eq!(asked.get(), 2);
+        assert_eq!(requests.get(), 2);
     });
 }
--- a/lilacpass-node/tests/desired_watch.rs
+++ b/lilacpass-node/tests/desired_watch.rs
@@ -29,7 +29,7 @@
 
 /// Responds as a store that was unavailable while all versions but the first were published. Each read returns one
 /// record, as two are longer than the maximum of a read.
-async fn answer(received: ReceivedRequest, up: Duration) -> Reply {
+async fn respond(received: ReceivedRequest, up: Duration) -> Reply {
     let (down, back) = OUTAGE;
     if up >= down && up < back {
         return Reply::status(StatusCode::SERVICE_UNAVAILABLE);
@@ -41,7 +41,7 @@
         time::sleep(TRANSFER_TIME.min(down / 2)).await;
         return newest(last);
     };
-    let from: u64 = from.parse().expect("a place");
+    let from: u64 = from.parse().expect("a position");
     if from >= last {
         time::sleep(down).await;
         return read(Bytes::new(), last);
@@ -83,7 +83,7 @@
         let listener = server::listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let node = node(&listener.local_addr().expect("an address").to_string());
         let begin = Instant::now();
-        let handler = move |received| answer(received, begin.elapsed());
+        let handler = move |received| respond(received, begin.elapsed());
         task::spawn_local(server::serve(listener, Limits::default, handler));
         task::spawn_local(desired_watch::run(node.clone()));
         time::sleep(OUTAGE.0).await;
--- a/lilacpass-node/tests/members.rs
+++ b/lilacpass-node/tests/members.rs
@@ -22,7 +22,7 @@
     members.record_heartbeat("a:1", peer(1_000));
     let with_one = members.revision();
     members.record_heartbeat("a:1", peer(2_000));
-    assert_eq!(members.revision(), with_one, "a greeting of a known one changes nothing");
+    assert_eq!(members.revision(), with_one, "a heartbeat of a known instance changes nothing");
     members.record_heartbeat("b:1", peer(40_000));
     let with_two = members.revision();
     assert_ne!(with_two, with_one);
@@ -42,5 +42,9 @@
     known.update(8, addresses(&["b:1"]));
     assert_eq!(known.addresses, addresses(&["b:1"]));
     known.update(0, addresses(&["c:1"]));
-    assert_eq!(known.addresses, addresses(&["c:1"]), "one that counts no revisions sends all");
+    assert_eq!(
+        known.addresses,
+        addresses(&["c:1"]),
+        "a leader without revisions always sends the list"
+    );
 }
--- a/lilacpass-node/tests/orders.rs
+++ b/lilacpass-node/tests/orders.rs
@@ -7,24 +7,27 @@
 use lilacpass_node::{budget::RetryBudget, orders};
 use tokio::{runtime, time};
 
-type Answer = Result<(), CallError>;
+type OrderResult = Result<(), CallError>;
 
 /// Responds to each copy of an order in turn, after a number of milliseconds; `None` is a lost response. Returns the
 /// result of the order, and how many copies were sent.
-fn send(answers: &[Option<(u64, Answer)>]) -> (Answer, usize) {
-    send_with_budget(&RetryBudget::default(), answers)
+fn send(results: &[Option<(u64, OrderResult)>]) -> (OrderResult, usize) {
+    send_with_budget(&RetryBudget::default(), results)
 }
 
-fn send_with_budget(budget: &RetryBudget, answers: &[Option<(u64, Answer)>]) -> (Answer, usize) {
+fn send_with_budget(
+    budget: &RetryBudget,
+    results: &[Option<(u64, OrderResult)>],
+) -> (OrderResult, usize) {
     let sent = Cell::new(0);
     let send = || {
-        let answer = answers[sent.get()].clone();
+        let result = results[sent.get()].clone();
         sent.set(sent.get() + 1);
         async move {
-            match answer {
-                Some((after_ms, answer)) => {
+            match result {
+                Some((after_ms, result)) => {
                     time::sleep(Duration::from_millis(after_ms)).await;
-                    answer
+                    result
                 }
                 None => future::pending().await,
             }
@@ -42,7 +45,7 @@
 #[test]
 fn an_order_with_a_prompt_response_is_sent_once() {
     assert_eq!(send(&[Some((5, Ok(())))]), (Ok(()), 1));
-    let refused: Answer = Err(CallError::Refused(Refusal::Room));
+    let refused: OrderResult = Err(CallError::Refused(Refusal::Room));
     assert_eq!(send(&[Some((5, refused.clone()))]), (refused, 1));
 }
 
@@ -62,9 +65,9 @@
 /// copy is refused as old, which does not mean that there was no run.
 #[test]
 fn a_refusal_of_one_copy_does_not_settle_the_other() {
-    let uncertain: Answer = Err(CallError::Failed(Verdict::MayHaveRun));
+    let uncertain: OrderResult = Err(CallError::Failed(Verdict::MayHaveRun));
     for refusal in [Refusal::Old, Refusal::Room, Refusal::Ticket, Refusal::Unhealthy] {
-        let refused: Answer = Err(CallError::Refused(refusal));
+        let refused: OrderResult = Err(CallError::Refused(refusal));
         let lost = Some((400, uncertain.clone()));
         assert_eq!(send(&[lost, Some((5, refused))]), (uncertain.clone(), 2));
     }
@@ -72,7 +75,7 @@
 
 #[test]
 fn a_fence_refusal_settles_both_copies() {
-    let fenced: Answer = Err(CallError::Refused(Refusal::Fence));
+    let fenced: OrderResult = Err(CallError::Refused(Refusal::Fence));
     assert_eq!(send(&[None, Some((5, fenced.clone()))]), (fenced, 2));
 }
 
--- a/lilacpass-node/tests/peer_messages.rs
+++ b/lilacpass-node/tests/peer_messages.rs
@@ -49,10 +49,10 @@
 
 fn damaged(valid: &[u8], damages: &[Damage]) -> Vec<u8> {
     let mut bytes = valid.to_vec();
-    for &(what, place, byte) in damages {
-        let at = usize::from(place) % (bytes.len() + 1);
-        match what % 4 {
-            0 if what < 64 => bytes.truncate(at),
+    for &(kind, position, byte) in damages {
+        let at = usize::from(position) % (bytes.len() + 1);
+        match kind % 4 {
+            0 if kind < 64 => bytes.truncate(at),
             1 => bytes.insert(at, byte),
             2 if at < bytes.len() => drop(bytes.remove(at)),
             _ if at < bytes.len() => bytes[at] = byte,
@@ -104,18 +104,18 @@
         let client = Client::default();
         let address = cluster.instances[0].peer_address.clone();
         for (path, message) in messages().into_iter().chain(oversized_messages()) {
-            let answer = client.call(&call(&address, path, message.clone())).await;
-            let status = answer.map(|answer| answer.status);
+            let response = client.call(&call(&address, path, message.clone())).await;
+            let status = response.map(|response| response.status);
             assert!(
                 matches!(status, Ok(StatusCode::OK | StatusCode::BAD_REQUEST)),
                 "{status:?} to {path} {message:?}"
             );
         }
         let (path, message) = oversized_messages().remove(0);
-        let body = client.call(&call(&address, path, message)).await.expect("an answer").body;
+        let body = client.call(&call(&address, path, message)).await.expect("an response").body;
         let reply = v1::PeerWorkReply::decode(body).expect("a reply");
         assert_eq!(reply.outcome(), v1::WorkOutcome::WorkInvalid, "{}", reply.detail);
-        assert!(!cluster.instances[0].has_ended().expect("asked"), "the instance has ended");
+        assert!(!cluster.instances[0].has_ended().expect("a result"), "the instance has ended");
         cluster.wait_for_leader(&[0]).await;
     });
 }
--- a/lilacpass-node/tests/registry_watch.rs
+++ b/lilacpass-node/tests/registry_watch.rs
@@ -13,8 +13,8 @@
 };
 use tokio::{runtime, sync::mpsc, task, time};
 
-const GOOD: &str = r#"{"service": "s", "address": "10.0.0.1:80", "state": "ready"}"#;
-const DRAINS: &str = r#"{"service": "s", "address": "10.0.0.1:80", "state": "draining"}"#;
+const READY_ENTRY: &str = r#"{"service": "s", "address": "10.0.0.1:80", "state": "ready"}"#;
+const DRAINING_ENTRY: &str = r#"{"service": "s", "address": "10.0.0.1:80", "state": "draining"}"#;
 
 fn placed(key: &str, offset: u64, value: &str) -> StoredRecord {
     StoredRecord {
@@ -31,23 +31,24 @@
 #[test]
 fn a_worker_with_an_unreadable_entry_is_not_used() {
     let mut registered = RegisteredWorkers::default();
-    let events = registered.apply_full_read(vec![placed("w-1", 1, GOOD), placed("w-2", 2, "{}")]);
+    let events =
+        registered.apply_full_read(vec![placed("w-1", 1, READY_ENTRY), placed("w-2", 2, "{}")]);
     assert_eq!(events.iter().filter(|event| is_listed(event, "w-1")).count(), 1);
     let events = registered.apply_full_read(vec![placed("w-1", 3, "{"), placed("w-2", 4, "{}")]);
     assert_eq!(events, [Event::WorkerUnregistered(WorkerName::from("w-1"))]);
-    let events = registered.apply_full_read(vec![placed("w-1", 5, GOOD)]);
+    let events = registered.apply_full_read(vec![placed("w-1", 5, READY_ENTRY)]);
     let listed = events.iter().filter(|event| is_listed(event, "w-1")).count();
-    assert_eq!(listed, 1, "and used again once it can be read");
+    assert_eq!(listed, 1, "the worker is used again once its entry can be decoded");
 }
 
 /// The same for an entry that is overwritten between two full reads.
 #[test]
 fn an_unreadable_change_ends_the_use_of_a_worker() {
     let mut registered = RegisteredWorkers::default();
-    registered.apply_full_read(vec![placed("w-1", 1, GOOD)]);
+    registered.apply_full_read(vec![placed("w-1", 1, READY_ENTRY)]);
     let events = registered.apply_changes(vec![placed("w-1", 2, "{")]);
     assert_eq!(events, [Event::WorkerUnregistered(WorkerName::from("w-1"))]);
-    let events = registered.apply_changes(vec![placed("w-1", 3, GOOD)]);
+    let events = registered.apply_changes(vec![placed("w-1", 3, READY_ENTRY)]);
     assert_eq!(events.iter().filter(|event| is_listed(event, "w-1")).count(), 1);
 }
 
@@ -55,9 +56,13 @@
 #[test]
 fn an_unchanged_entry_causes_no_event() {
     let mut registered = RegisteredWorkers::default();
-    registered.apply_full_read(vec![placed("w-1", 1, GOOD)]);
-    assert_eq!(registered.apply_changes(vec![placed("w-1", 2, GOOD), placed("w-1", 3, GOOD)]), []);
-    let events = registered.apply_changes(vec![placed("w-1", 4, DRAINS)]);
+    registered.apply_full_read(vec![placed("w-1", 1, READY_ENTRY)]);
+    assert_eq!(
+        registered
+            .apply_changes(vec![placed("w-1", 2, READY_ENTRY), placed("w-1", 3, READY_ENTRY)]),
+        []
+    );
+    let events = registered.apply_changes(vec![placed("w-1", 4, DRAINING_ENTRY)]);
     assert!(
         matches!(&events[..], [Event::WorkerRegistered(entry)] if entry.draining),
         "{events:?}"
@@ -67,16 +72,17 @@
 /// Guards against a leader that goes on filling a worker after it has reported a smaller capacity.
 #[test]
 fn a_changed_capacity_is_reported_to_the_leader() {
-    let says = |cpu: u32| {
-        GOOD.replace('}', &format!(r#", "capacity": {{"cpu": {cpu}, "memMb": 100, "gpu": 0}}}}"#))
+    let entry_with_cpu = |cpu: u32| {
+        READY_ENTRY
+            .replace('}', &format!(r#", "capacity": {{"cpu": {cpu}, "memMb": 100, "gpu": 0}}}}"#))
     };
     let mut registered = RegisteredWorkers::default();
-    registered.apply_full_read(vec![placed("w-1", 1, &says(8_000))]);
+    registered.apply_full_read(vec![placed("w-1", 1, &entry_with_cpu(8_000))]);
     for (offset, cpu) in [(2, 2_000), (3, 8_000), (4, 0)] {
-        let events = registered.apply_changes(vec![placed("w-1", offset, &says(cpu))]);
-        let room = Resources::new(u64::from(cpu), 100, 0, 0);
+        let events = registered.apply_changes(vec![placed("w-1", offset, &entry_with_cpu(cpu))]);
+        let expected = Resources::new(u64::from(cpu), 100, 0, 0);
         assert!(
-            matches!(&events[..], [Event::WorkerRegistered(entry)] if entry.capacity == room),
+            matches!(&events[..], [Event::WorkerRegistered(entry)] if entry.capacity == expected),
             "{events:?}"
         );
     }
@@ -86,10 +92,10 @@
 #[test]
 fn a_removed_worker_is_gone_once_a_full_read_confirms_it() {
     let mut registered = RegisteredWorkers::default();
-    registered.apply_full_read(vec![placed("w-1", 1, GOOD), placed("w-2", 2, GOOD)]);
+    registered.apply_full_read(vec![placed("w-1", 1, READY_ENTRY), placed("w-2", 2, READY_ENTRY)]);
     assert_eq!(registered.apply_changes(vec![placed("w-1", 3, ""), placed("w-2", 4, "")]), []);
     assert!(registered.has_missing());
-    let events = registered.apply_full_read(vec![placed("w-2", 5, GOOD)]);
+    let events = registered.apply_full_read(vec![placed("w-2", 5, READY_ENTRY)]);
     assert!(events.contains(&Event::WorkerUnregistered(WorkerName::from("w-1"))), "{events:?}");
     assert!(events.iter().any(|event| is_listed(event, "w-2")), "{events:?}");
     assert!(!registered.has_missing());
@@ -99,7 +105,7 @@
 #[test]
 fn a_worker_that_vanishes_is_gone_after_two_full_reads() {
     let mut registered = RegisteredWorkers::default();
-    registered.apply_full_read(vec![placed("w-1", 1, GOOD)]);
+    registered.apply_full_read(vec![placed("w-1", 1, READY_ENTRY)]);
     assert_eq!(registered.apply_full_read(Vec::new()), []);
     assert!(registered.has_missing());
     assert_eq!(
@@ -113,7 +119,7 @@
 #[test]
 fn watching_the_workers_leaves_a_thin_link_free() {
     const LINK_BYTES_PER_SECOND: u64 = 250_000;
-    const LASTS: Duration = Duration::from_secs(4);
+    const DURATION: Duration = Duration::from_secs(4);
     let shape = CellConfig {
         workers: 200,
         workers_per_data_centre: 40,
@@ -126,10 +132,10 @@
         let node = Rc::new(Node::new(instances::settings(&cell.store_address, 2.0)));
         let (messages, mut inbox) = mpsc::unbounded_channel();
         task::spawn_local(registry_watch::run(node, messages));
-        time::sleep(LASTS).await;
+        time::sleep(DURATION).await;
         inbox.close();
-        let most = LINK_BYTES_PER_SECOND * LASTS.as_secs() / 4;
+        let max_bytes = LINK_BYTES_PER_SECOND * DURATION.as_secs() / 4;
         let read: u64 = cell.calls.borrow().values().map(|calls| calls.response_bytes).sum();
-        assert!(read > 0 && read <= most, "{read} bytes, {most} at most");
+        assert!(read > 0 && read <= max_bytes, "{read} bytes, {max_bytes} at most");
     });
 }
--- a/lilacpass-node/tests/relay_messages.rs
+++ b/lilacpass-node/tests/relay_messages.rs
@@ -7,7 +7,7 @@
 use lilacpass_schema::v1;
 use prost::Message;
 
-fn answer() -> PollResponse {
+fn poll_response() -> PollResponse {
     let step = StepName { job: JobKey(u64::MAX), occurrence: 3, step: 1 };
     let running = ReportedRun {
         task: step.task(7),
@@ -31,9 +31,9 @@
 
 #[test]
 fn outcomes_survive_encoding() {
-    let polled = round_trip(relay_messages::poll_outcome(4, Ok(answer())));
+    let polled = round_trip(relay_messages::poll_outcome(4, Ok(poll_response())));
     assert_eq!(polled.number, 4);
-    assert_eq!(relay_messages::read_outcome(polled), Ok(Some(answer())));
+    assert_eq!(relay_messages::read_outcome(polled), Ok(Some(poll_response())));
     let refusals = [
         Refusal::Fence,
         Refusal::Old,
@@ -59,12 +59,12 @@
 /// Guards against running a task twice: a damaged response lacked a run, and the leader took it for gone.
 #[test]
 fn a_poll_response_with_a_row_without_a_run_is_rejected() {
-    let mut sent = relay_messages::poll_outcome(4, Ok(answer()));
-    sent.answer.as_mut().expect("an answer").running[0].run = None;
+    let mut sent = relay_messages::poll_outcome(4, Ok(poll_response()));
+    sent.answer.as_mut().expect("a response").running[0].run = None;
     let unanswered = Err(CallError::Failed(Verdict::MayHaveRun));
     assert_eq!(relay_messages::read_outcome(sent), unanswered);
-    let mut sent = relay_messages::poll_outcome(4, Ok(answer()));
-    sent.answer.as_mut().expect("an answer").ends[0].how = "finished".to_owned();
+    let mut sent = relay_messages::poll_outcome(4, Ok(poll_response()));
+    sent.answer.as_mut().expect("a response").ends[0].how = "finished".to_owned();
     assert_eq!(relay_messages::read_outcome(sent), unanswered);
 }
 
--- a/lilacpass-node/tests/relay_state.rs
+++ b/lilacpass-node/tests/relay_state.rs
@@ -69,7 +69,7 @@
     let mut sim = Simulation::new(both_candidates);
     assert_eq!(sim.relay_for("w-1", "a").as_deref(), Some("a:1"));
     assert_eq!(sim.relay_for("w-2", "b").as_deref(), Some("b:1"));
-    assert!(sim.relay_for("w-3", "c").is_some(), "and by any where its own has none");
+    assert!(sim.relay_for("w-3", "c").is_some(), "any relay is used if the data centre has none");
 }
 
 /// Guards against idle workers after the failure of a relay that holds polls for two hundred of them. Each of them
@@ -88,7 +88,11 @@
     assert_eq!(lost_verdict(unsent), Some(Verdict::NotRun));
     assert_eq!(sim.relay_for("w-1", "a").as_deref(), Some("b:1"));
     sim.review(both_candidates());
-    assert_eq!(sim.relay_for("w-1", "a").as_deref(), Some("b:1"), "it rests");
+    assert_eq!(
+        sim.relay_for("w-1", "a").as_deref(),
+        Some("b:1"),
+        "the failed relay is on cooldown"
+    );
 }
 
 /// Guards against sending orders twice at each planned stop of an instance, because its orders in progress count as
@@ -107,7 +111,7 @@
     assert_eq!(
         sim.relays.handle_outcomes(vec![relay_messages::order_outcome(number, Ok(()))]),
         1,
-        "told twice"
+        "a repeated outcome is not awaited"
     );
 }
 
@@ -127,7 +131,7 @@
         assert_eq!(sim.relay_for("w-1", "a").as_deref(), Some("b:1"));
         while sim.relay_for("w-1", "a").as_deref() != Some("a:1") {
             sim.review(both_candidates());
-            assert!(sim.now_ms < began_ms + 60_000, "it never comes back");
+            assert!(sim.now_ms < began_ms + 60_000, "the relay is never used again");
         }
         cooldowns_ms.push(sim.now_ms - began_ms);
     }
--- a/lilacpass-node/tests/relays.rs
+++ b/lilacpass-node/tests/relays.rs
@@ -43,9 +43,9 @@
 /// The leader, and the relays as it reports them to operators; `None` if no instance leads.
 async fn leader_and_relays(cluster: &Cluster) -> Option<(usize, Vec<String>)> {
     for (leader, instance) in cluster.instances.iter().enumerate() {
-        let answer =
+        let response =
             call(&instance.peer_address, Method::GET, "/operator/status", Vec::new()).await;
-        let Some((StatusCode::OK, body)) = answer else { continue };
+        let Some((StatusCode::OK, body)) = response else { continue };
         let status: Value = serde_json::from_slice(&body).expect("a status");
         let relays = status["relays"].as_array().expect("a list");
         let address = |relay: &Value| relay["address"].as_str().unwrap_or_default().to_owned();
@@ -86,8 +86,8 @@
 async fn submit_jobs(cluster: &Cluster, jobs: usize) -> Vec<JobKey> {
     let mut keys = Vec::new();
     for _ in 0..jobs {
-        let (key, handed) = cluster.callers.submit(QUEUES[1], job()).await;
-        assert_eq!(handed, SubmitOutcome::Accepted);
+        let (key, outcome) = cluster.callers.submit(QUEUES[1], job()).await;
+        assert_eq!(outcome, SubmitOutcome::Accepted);
         keys.push(key);
     }
     keys
@@ -170,7 +170,7 @@
         start(&mut cluster);
         let (_, relays) = wait_for_relays(&cluster, 2).await;
         let mut jobs = submit_jobs(&cluster, 4).await;
-        cluster.instances[relays[0]].signal(Signal::TERM).expect("asked to stop");
+        cluster.instances[relays[0]].signal(Signal::TERM).expect("signalled");
         wait_for_relays(&cluster, 1).await;
         jobs.extend(submit_jobs(&cluster, 4).await);
         wait_until_done(&cluster, &jobs).await;
@@ -205,8 +205,8 @@
             orders: (0..STARTS).map(order).collect(),
         };
         let address = &cluster.instances[0].peer_address;
-        let answer = call(address, Method::POST, "/peer/orders", orders.encode_to_vec()).await;
-        assert_eq!(answer.map(|(status, _)| status), Some(StatusCode::OK));
+        let response = call(address, Method::POST, "/peer/orders", orders.encode_to_vec()).await;
+        assert_eq!(response.map(|(status, _)| status), Some(StatusCode::OK));
     });
 }
 
@@ -222,17 +222,17 @@
             cluster.instances[relays[0]].peer_address.clone(),
         );
         let post = async |address: &str, path: &str, message: Vec<u8>| {
-            call(address, Method::POST, path, message).await.expect("an answer").0
+            call(address, Method::POST, path, message).await.expect("a response").0
         };
         let orders = v1::PeerOrders {
             orders: vec![v1::RelayedOrder { number: 1, ..Default::default() }],
             ..Default::default()
         };
         let refused = post(&relay, "/peer/orders", orders.encode_to_vec()).await;
-        assert_eq!(refused, StatusCode::CONFLICT, "orders of an epoch that is over");
+        assert_eq!(refused, StatusCode::CONFLICT, "orders of a past epoch");
         let orders = v1::PeerOrders { epoch: u64::MAX, ..orders };
-        let taken = post(&relay, "/peer/orders", orders.encode_to_vec()).await;
-        assert_eq!(taken, StatusCode::OK, "an order without content is passed over");
+        let accepted = post(&relay, "/peer/orders", orders.encode_to_vec()).await;
+        assert_eq!(accepted, StatusCode::OK, "an order without content is ignored");
         let damaged = post(&relay, "/peer/orders", vec![0xff; 40]).await;
         assert_eq!(damaged, StatusCode::BAD_REQUEST);
         let outcomes = v1::PeerOutcomes {
--- a/lilacpass-node/tests/thin_links.rs
+++ b/lilacpass-node/tests/thin_links.rs
@@ -68,7 +68,7 @@
         body: Bytes::from(hello.encode_to_vec()),
         timeout: Duration::from_secs(4),
     };
-    Client::default().call(&call).await.expect("an answer").body
+    Client::default().call(&call).await.expect("a response").body
 }
 
 /// A heartbeat of an instance that knows nothing yet.
@@ -91,8 +91,8 @@
         cluster.cell.publish("config", &large_desired_state(2));
         cluster.instances[0].start().expect("started");
         assert!(wait_until_served(&cluster.instances[0].callers_address, QUEUES[0].name).await);
-        let answer = send_heartbeat(&cluster, 0, &first_heartbeat("127.0.0.1:1")).await;
-        assert!(answer.len() <= MAX_BYTES, "{} bytes", answer.len());
+        let response = send_heartbeat(&cluster, 0, &first_heartbeat("127.0.0.1:1")).await;
+        assert!(response.len() <= MAX_BYTES, "{} bytes", response.len());
     });
 }
 
@@ -110,12 +110,12 @@
             send_heartbeat(&cluster, 0, &first_heartbeat(address)).await;
         }
         let first = send_heartbeat(&cluster, 0, &first_heartbeat(&addresses[0])).await;
-        let listed = v1::PeerHelloReply::decode(first).expect("an answer");
+        let listed = v1::PeerHelloReply::decode(first).expect("a response");
         assert_eq!(listed.peers.len(), INSTANCES);
         let peers_revision = listed.peers_revision;
         let second = v1::PeerHello { peers_revision, ..first_heartbeat(&addresses[0]) };
-        let answer = send_heartbeat(&cluster, 0, &second).await;
-        assert!(answer.len() <= MAX_BYTES, "{} bytes", answer.len());
+        let response = send_heartbeat(&cluster, 0, &second).await;
+        assert!(response.len() <= MAX_BYTES, "{} bytes", response.len());
     });
 }
 
@@ -142,8 +142,8 @@
         for instance in &cluster.instances {
             assert!(wait_until_served(&instance.callers_address, QUEUES[0].name).await);
         }
-        let (_, handed) = cluster.callers.submit(QUEUES[1], small_job()).await;
-        assert_eq!(handed, SubmitOutcome::Accepted);
+        let (_, outcome) = cluster.callers.submit(QUEUES[1], small_job()).await;
+        assert_eq!(outcome, SubmitOutcome::Accepted);
         let leader = cluster.callers.leader(&cluster.peer_addresses()).await.expect("one leads");
         let follower = 1 - leader;
         cluster.links[follower].cut();
