--- a/lilacpass-node/src/append.rs
+++ b/lilacpass-node/src/append.rs
@@ -154,6 +154,7 @@
     }
 }
 
+/// A pause of 0.5 to 1.5 times `backoff`, so that instances do not retry in step.
 fn with_jitter(backoff: Duration) -> Duration {
     backoff.mul_f64(rand::rng().random_range(0.5..1.5))
 }
--- a/lilacpass-node/src/desired_relay.rs
+++ b/lilacpass-node/src/desired_relay.rs
@@ -124,8 +124,7 @@
     let reply = peers::fetch_desired(node, address, known_version, RESPONSE_TIMEOUT).await?;
     if !reply.config.is_empty() {
         let state = desired::decode(&reply.config).inspect_err(|_| {
-            // Fetching it again and again would fill the links of both instances for as long as this one cannot read
-            // it.
+            // Requesting an unreadable version repeatedly would fill the links of both instances.
             if address == source.address {
                 node.unreadable_desired_version.set(source.version);
             }
--- a/lilacpass-node/src/desired_watch.rs
+++ b/lilacpass-node/src/desired_watch.rs
@@ -35,13 +35,13 @@
         };
         node.metrics.desired_read("store", metrics::outcome(&result));
         log_read_failures(&mut failing_since_ms, &result);
-        let has_failed = result.is_err();
+        let is_failure = result.is_err();
         if let Ok(position) = result {
             next = position;
         }
         // The position is kept after a failure. Usually nothing has been written since, so reading on is cheaper than
         // reading the newest record again.
-        if has_failed || next.is_none() {
+        if is_failure || next.is_none() {
             time::sleep(RETRY_PAUSE).await;
         }
     }
@@ -69,7 +69,7 @@
 async fn read_newest(node: &Node, partition: &Partition) -> Result<u64> {
     let page = node.store.newest(partition, None, RESPONSE_TIMEOUT).await?;
     node.record_store_response();
-    page.records.iter().for_each(|placed| apply(node, placed));
+    page.records.iter().for_each(|stored| apply(node, stored));
     Ok(page.end)
 }
 
@@ -83,8 +83,8 @@
     match node.store.read(partition, from, POLL_WAIT, RESPONSE_TIMEOUT).await? {
         ReadOutcome::Records { records, end } => {
             node.record_store_response();
-            records.iter().for_each(|placed| apply(node, placed));
-            let next = records.last().map_or(from, |placed| placed.offset + 1);
+            records.iter().for_each(|stored| apply(node, stored));
+            let next = records.last().map_or(from, |stored| stored.offset + 1);
             Ok(Some(next).filter(|next| end.saturating_sub(*next) < SKIP_TO_NEWEST_LAG))
         }
         ReadOutcome::Gone => Ok(None),
@@ -92,14 +92,14 @@
 }
 
 /// Adopts a record if it holds a desired state that can be decoded.
-fn apply(node: &Node, placed: &StoredRecord) {
-    if placed.record.key != desired::KEY {
+fn apply(node: &Node, stored: &StoredRecord) {
+    if stored.record.key != desired::KEY {
         return;
     }
-    match desired::decode(&placed.record.value) {
-        Ok(state) => node.publish(state, Bytes::from(placed.record.value.clone()), "store"),
+    match desired::decode(&stored.record.value) {
+        Ok(state) => node.publish(state, Bytes::from(stored.record.value.clone()), "store"),
         Err(err) => {
-            log::warn!(offset = placed.offset, error:% = err; "ignoring a desired state that cannot be decoded");
+            log::warn!(offset = stored.offset, error:% = err; "ignoring a desired state that cannot be decoded");
         }
     }
 }
--- a/lilacpass-node/src/election.rs
+++ b/lilacpass-node/src/election.rs
@@ -328,9 +328,9 @@
 
 /// Decodes the newest leader record; `None` if there is none or it cannot be decoded.
 fn newest_lead_record(records: &[StoredRecord]) -> Option<v1::LeadRecord> {
-    let is_lead = |placed: &&StoredRecord| placed.record.key == takeover::LEAD_KEY;
-    let placed = records.iter().filter(is_lead).max_by_key(|placed| placed.offset)?;
-    v1::LeadRecord::decode(placed.record.value.as_slice())
+    let is_lead = |stored: &&StoredRecord| stored.record.key == takeover::LEAD_KEY;
+    let stored = records.iter().filter(is_lead).max_by_key(|stored| stored.offset)?;
+    v1::LeadRecord::decode(stored.record.value.as_slice())
         .inspect_err(
             |err| log::warn!(error:% = err; "ignoring a leader record that cannot be decoded"),
         )
@@ -340,13 +340,13 @@
 /// Whether another instance has announced a take-over since the leader last wrote.
 fn claimed_by_other(node: &Node, page: &NewestPage) -> bool {
     let offset = |key: &str| {
-        page.records.iter().find(|placed| placed.record.key == key).map(|placed| placed.offset)
+        page.records.iter().find(|stored| stored.record.key == key).map(|stored| stored.offset)
     };
     let own = node.settings.instance.as_bytes();
     let by_other = page
         .records
         .iter()
-        .any(|placed| placed.record.key == CLAIM_KEY && placed.record.value != own);
+        .any(|stored| stored.record.key == CLAIM_KEY && stored.record.value != own);
     by_other && offset(CLAIM_KEY) > offset(takeover::LEAD_KEY)
 }
 
--- a/lilacpass-node/src/leader_handle.rs
+++ b/lilacpass-node/src/leader_handle.rs
@@ -75,7 +75,7 @@
 
 /// Waits until this instance does not lead any more.
 pub async fn wait_until_ended(node: &Node) {
-    let Some(mut lead) = node.leader_handle.borrow().clone() else { return };
+    let Some(mut leader) = node.leader_handle.borrow().clone() else { return };
     // The wait also ends when the leader loop drops its sender.
-    let _dropped = lead.ended.wait_for(|ended| *ended).await;
+    let _dropped = leader.ended.wait_for(|ended| *ended).await;
 }
--- a/lilacpass-node/src/leader_loop.rs
+++ b/lilacpass-node/src/leader_loop.rs
@@ -69,6 +69,7 @@
     task::spawn_local(leader_loop.run(inbox, end));
 }
 
+/// Options of the leader within the bounds that the platform sets.
 fn options(node: &Node) -> Options {
     let bounds = &node.settings.bounds;
     let defaults = Options::default();
--- a/lilacpass-node/src/node.rs
+++ b/lilacpass-node/src/node.rs
@@ -198,8 +198,8 @@
     /// heartbeats and reach the store.
     pub fn max_present_cpu_millis(&self, now_ms: u64) -> u32 {
         let members = self.members.borrow();
-        let able = members.present(now_ms).filter(|(_, peer)| peer.store_reachable);
-        able.map(|(_, peer)| peer.cpu_millis).fold(self.settings.cpu_millis, u32::max)
+        let eligible = members.present(now_ms).filter(|(_, peer)| peer.store_reachable);
+        eligible.map(|(_, peer)| peer.cpu_millis).fold(self.settings.cpu_millis, u32::max)
     }
 
     fn limits(&self) -> Limits {
--- a/lilacpass-node/src/operator_api.rs
+++ b/lilacpass-node/src/operator_api.rs
@@ -19,7 +19,7 @@
 /// Handles an operator's request.
 pub async fn serve(node: &Node, path: &str) -> Reply {
     if path == INSTANCE_PATH {
-        return ok(&instance(node));
+        return ok(&instance_status(node));
     }
     let query = if path == STATUS_PATH {
         OperatorQuery::Status
@@ -47,7 +47,8 @@
     }
 }
 
-fn instance(node: &Node) -> Value {
+/// The state of this instance.
+fn instance_status(node: &Node) -> Value {
     let view = node.leader.borrow().clone();
     let now_ms = clock::now().steady_ms;
     json!({
--- a/lilacpass-node/src/peers.rs
+++ b/lilacpass-node/src/peers.rs
@@ -97,6 +97,7 @@
     M::decode(bytes).map_err(|err| Error::Decode("message of a peer", err.to_string()))
 }
 
+/// Sends a message and decodes the response.
 async fn post<M: Message + Default>(
     node: &Node,
     address: &str,
@@ -212,6 +213,7 @@
     Ok(reply)
 }
 
+/// Records a heartbeat of a peer, and responds with this instance's view of the leader.
 fn handle_heartbeat(node: &Node, hello: v1::PeerHello) -> v1::PeerHelloReply {
     let now_ms = clock::now().steady_ms;
     let peer = Peer {
@@ -281,6 +283,7 @@
     }
 }
 
+/// Executes a request that a peer has forwarded to this instance as the leader.
 async fn handle_work(node: &Node, work: v1::PeerWork) -> v1::PeerWorkReply {
     let not_leading = || reply(v1::WorkOutcome::WorkNotLeading);
     let Some(request) = decode_request(work) else {
@@ -435,6 +438,7 @@
     result.inspect_err(|err| log::info!(step:% = step, error:% = err; "no advice")).ok()
 }
 
+/// Calls the advice service on behalf of the leader.
 async fn handle_advise(node: &Node, question: v1::PeerAdvise) -> v1::PeerAdviseReply {
     let no_advice = v1::PeerAdviseReply::default();
     let Some(step) = parse_step(&question.step) else { return no_advice };
--- a/lilacpass-node/src/registered_workers.rs
+++ b/lilacpass-node/src/registered_workers.rs
@@ -35,9 +35,9 @@
             seen.missed_reads += 1;
         }
         let mut events = Vec::new();
-        for placed in records {
-            let change = self.apply_entry(&placed);
-            events.extend(change.or_else(|| self.last_listing(&placed)));
+        for stored in records {
+            let change = self.apply_entry(&stored);
+            events.extend(change.or_else(|| self.last_registration(&stored)));
         }
         self.remove_missing(&mut events);
         events
@@ -50,19 +50,19 @@
     /// them, it would look for work for that worker each time.
     pub fn apply_changes(&mut self, records: Vec<StoredRecord>) -> Vec<Event> {
         let mut events = Vec::new();
-        for placed in records {
-            if placed.record.value.is_empty() {
-                self.mark_removed(&placed);
+        for stored in records {
+            if stored.record.value.is_empty() {
+                self.mark_removed(&stored);
             } else {
-                events.extend(self.apply_entry(&placed));
+                events.extend(self.apply_entry(&stored));
             }
         }
         events
     }
 
-    /// An event that lists the worker as it was last seen.
-    fn last_listing(&self, placed: &StoredRecord) -> Option<Event> {
-        let name = WorkerName::from(placed.record.key.as_str());
+    /// An event that registers the worker as it was last seen.
+    fn last_registration(&self, stored: &StoredRecord) -> Option<Event> {
+        let name = WorkerName::from(stored.record.key.as_str());
         self.seen.get(&name)?.worker.clone().map(Event::WorkerRegistered)
     }
 
@@ -72,17 +72,17 @@
     }
 
     /// Applies an entry. Returns an event if it has changed.
-    fn apply_entry(&mut self, placed: &StoredRecord) -> Option<Event> {
-        let key = placed.record.key.as_str();
+    fn apply_entry(&mut self, stored: &StoredRecord) -> Option<Event> {
+        let key = stored.record.key.as_str();
         let name = WorkerName::from(key);
         let is_new = !self.seen.contains_key(&name);
         let seen = self.seen.entry(name.clone()).or_default();
         seen.missed_reads = 0;
-        if !is_new && placed.offset <= seen.offset {
+        if !is_new && stored.offset <= seen.offset {
             return None;
         }
-        seen.offset = placed.offset;
-        match registry::decode(key, &placed.record.value) {
+        seen.offset = stored.offset;
+        match registry::decode(key, &stored.record.value) {
             Ok(worker) if seen.worker.as_ref() == Some(&worker) => None,
             Ok(worker) => {
                 seen.worker = Some(worker.clone());
@@ -99,11 +99,11 @@
     }
 
     /// Marks an entry as removed. The worker counts as gone once a full read confirms it.
-    fn mark_removed(&mut self, placed: &StoredRecord) {
-        let name = WorkerName::from(placed.record.key.as_str());
+    fn mark_removed(&mut self, stored: &StoredRecord) {
+        let name = WorkerName::from(stored.record.key.as_str());
         let Some(seen) = self.seen.get_mut(&name) else { return };
-        if placed.offset > seen.offset {
-            seen.offset = placed.offset;
+        if stored.offset > seen.offset {
+            seen.offset = stored.offset;
             seen.missed_reads = 1;
         }
     }
--- a/lilacpass-node/src/registry_watch.rs
+++ b/lilacpass-node/src/registry_watch.rs
@@ -16,7 +16,7 @@
 use crate::{leader_handle::Message, metrics, node::Node, registered_workers::RegisteredWorkers};
 
 /// Interval between reads. A worker must not get any starts later than 2 s after it reports that it is draining.
-const INTERVAL: Duration = Duration::from_millis(500);
+const CHANGES_INTERVAL: Duration = Duration::from_millis(500);
 /// Timeout of a store call. The store's slowest responses take 0.6 s.
 const TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Interval between full reads, which find entries that were removed without a record. A full read takes some hundred
@@ -62,7 +62,7 @@
             }
             Err(err) => {
                 log::info!(what, error:% = err; "reading the registered workers failed");
-                time::sleep(INTERVAL).await;
+                time::sleep(CHANGES_INTERVAL).await;
                 continue;
             }
         };
@@ -72,7 +72,7 @@
                 return;
             }
         }
-        time::sleep(INTERVAL).await;
+        time::sleep(CHANGES_INTERVAL).await;
     }
 }
 
@@ -83,7 +83,7 @@
     let mut records = Vec::new();
     let mut end = None;
     loop {
-        let after = records.last().map(|placed: &StoredRecord| placed.record.key.clone());
+        let after = records.last().map(|stored: &StoredRecord| stored.record.key.clone());
         let page = node.store.newest(&partition, after.as_deref(), TIMEOUT).await?;
         node.record_store_response();
         let end = *end.get_or_insert(page.end);
--- a/lilacpass-node/src/relay_choice.rs
+++ b/lilacpass-node/src/relay_choice.rs
@@ -79,21 +79,21 @@
     let is_used = |candidate: &Candidate<'_>| in_use.iter().any(|used| used == candidate.address);
     candidates.sort_by_key(|c| (!is_used(c), Reverse(c.cpu_millis), c.address));
     // The first instance of each data centre precedes the second of any.
-    let mut ranks: BTreeMap<&str, usize> = BTreeMap::new();
-    let mut rounds: Vec<(usize, Candidate<'a>)> = Vec::new();
+    let mut next_ranks: BTreeMap<&str, usize> = BTreeMap::new();
+    let mut ranked: Vec<(usize, Candidate<'a>)> = Vec::new();
     for candidate in candidates {
-        let round = ranks.entry(candidate.data_centre).or_default();
-        rounds.push((*round, candidate));
-        *round += 1;
+        let rank = next_ranks.entry(candidate.data_centre).or_default();
+        ranked.push((*rank, candidate));
+        *rank += 1;
     }
-    rounds.sort_by_key(|(round, _)| *round);
+    ranked.sort_by_key(|(rank, _)| *rank);
     let needed_millis =
         load.orders * ORDER_CPU_US / US_PER_SECOND * MILLIS_PER_CORE / RELAY_CPU_SHARE;
     let mut selected_millis = 0.0;
     let mut chosen = Vec::new();
-    for (round, candidate) in rounds {
+    for (rank, candidate) in ranked {
         let target_millis = if is_used(&candidate) { KEEP_FACTOR } else { 1.0 } * needed_millis;
-        if round > 0 && selected_millis >= target_millis {
+        if rank > 0 && selected_millis >= target_millis {
             break;
         }
         selected_millis += f64::from(candidate.cpu_millis);
--- a/lilacpass-node/src/relay_messages.rs
+++ b/lilacpass-node/src/relay_messages.rs
@@ -166,11 +166,11 @@
     };
     let end = |row: v1::RelayedEnd| {
         let (task, run) = read_run(row.run.as_ref())?;
-        let how = row.how.parse().ok()?;
+        let reason = row.how.parse().ok()?;
         Some(ReportedEnd {
             number: row.number,
             task,
-            end: RunEnd { run, reason: how, checkpoint: row.checkpoint },
+            end: RunEnd { run, reason, checkpoint: row.checkpoint },
         })
     };
     Some(PollResponse {
--- a/lilacpass-node/src/takeover.rs
+++ b/lilacpass-node/src/takeover.rs
@@ -187,8 +187,8 @@
 
 impl JobRecords {
     /// Keeps the newest record of each key.
-    fn insert(&mut self, placed: StoredRecord) {
-        let StoredRecord { offset, record: read } = placed;
+    fn insert(&mut self, stored: StoredRecord) {
+        let StoredRecord { offset, record: read } = stored;
         if read.key == LEAD_KEY {
             self.other_leader_seen |= self.reading_tail;
             return;
@@ -207,6 +207,7 @@
         }
     }
 
+    /// Decodes the jobs, skipping deleted and undecodable ones.
     fn into_jobs(self) -> Vec<Job> {
         let mut jobs = Vec::with_capacity(self.plans.len());
         for (key, (_, plan)) in &self.plans {
@@ -245,8 +246,8 @@
         };
         retries.record_success();
         end = end.or(Some(page.end));
-        after = page.records.last().map(|placed| placed.record.key.clone());
-        page.records.into_iter().for_each(|placed| job_records.insert(placed));
+        after = page.records.last().map(|stored| stored.record.key.clone());
+        page.records.into_iter().for_each(|stored| job_records.insert(stored));
         if !page.more || after.is_none() {
             return end;
         }
@@ -268,7 +269,7 @@
             Ok(ReadOutcome::Records { records, end }) => {
                 retries.record_success();
                 let read = records.len() as u64;
-                records.into_iter().for_each(|placed| job_records.insert(placed));
+                records.into_iter().for_each(|stored| job_records.insert(stored));
                 next += read;
                 if next >= end || read == 0 {
                     return Some(end);
--- a/lilacpass-node/tests/desired_watch.rs
+++ b/lilacpass-node/tests/desired_watch.rs
@@ -29,12 +29,12 @@
 
 /// Responds as a store that was unavailable while all versions but the first were published. Each read returns one
 /// record, as two are longer than the maximum of a read.
-async fn respond(received: ReceivedRequest, up: Duration) -> Reply {
+async fn respond(received: ReceivedRequest, uptime: Duration) -> Reply {
     let (down, back) = OUTAGE;
-    if up >= down && up < back {
+    if uptime >= down && uptime < back {
         return Reply::status(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let last = if up < down { 1 } else { VERSIONS };
+    let last = if uptime < down { 1 } else { VERSIONS };
     let from = received.query.split('&').find_map(|part| part.strip_prefix("from="));
     let Some(from) = from else {
         // A request without a position asks for the newest record of each key.
--- a/lilacpass-node/tests/registry_watch.rs
+++ b/lilacpass-node/tests/registry_watch.rs
@@ -16,7 +16,7 @@
 const READY_ENTRY: &str = r#"{"service": "s", "address": "10.0.0.1:80", "state": "ready"}"#;
 const DRAINING_ENTRY: &str = r#"{"service": "s", "address": "10.0.0.1:80", "state": "draining"}"#;
 
-fn placed(key: &str, offset: u64, value: &str) -> StoredRecord {
+fn stored(key: &str, offset: u64, value: &str) -> StoredRecord {
     StoredRecord {
         offset,
         record: Record { key: key.to_owned(), value: value.as_bytes().to_vec() },
@@ -32,11 +32,11 @@
 fn a_worker_with_an_unreadable_entry_is_not_used() {
     let mut registered = RegisteredWorkers::default();
     let events =
-        registered.apply_full_read(vec![placed("w-1", 1, READY_ENTRY), placed("w-2", 2, "{}")]);
+        registered.apply_full_read(vec![stored("w-1", 1, READY_ENTRY), stored("w-2", 2, "{}")]);
     assert_eq!(events.iter().filter(|event| is_listed(event, "w-1")).count(), 1);
-    let events = registered.apply_full_read(vec![placed("w-1", 3, "{"), placed("w-2", 4, "{}")]);
+    let events = registered.apply_full_read(vec![stored("w-1", 3, "{"), stored("w-2", 4, "{}")]);
     assert_eq!(events, [Event::WorkerUnregistered(WorkerName::from("w-1"))]);
-    let events = registered.apply_full_read(vec![placed("w-1", 5, READY_ENTRY)]);
+    let events = registered.apply_full_read(vec![stored("w-1", 5, READY_ENTRY)]);
     let listed = events.iter().filter(|event| is_listed(event, "w-1")).count();
     assert_eq!(listed, 1, "the worker is used again once its entry can be decoded");
 }
@@ -45,10 +45,10 @@
 #[test]
 fn an_unreadable_change_ends_the_use_of_a_worker() {
     let mut registered = RegisteredWorkers::default();
-    registered.apply_full_read(vec![placed("w-1", 1, READY_ENTRY)]);
-    let events = registered.apply_changes(vec![placed("w-1", 2, "{")]);
+    registered.apply_full_read(vec![stored("w-1", 1, READY_ENTRY)]);
+    let events = registered.apply_changes(vec![stored("w-1", 2, "{")]);
     assert_eq!(events, [Event::WorkerUnregistered(WorkerName::from("w-1"))]);
-    let events = registered.apply_changes(vec![placed("w-1", 3, READY_ENTRY)]);
+    let events = registered.apply_changes(vec![stored("w-1", 3, READY_ENTRY)]);
     assert_eq!(events.iter().filter(|event| is_listed(event, "w-1")).count(), 1);
 }
 
@@ -56,13 +56,13 @@
 #[test]
 fn an_unchanged_entry_causes_no_event() {
     let mut registered = RegisteredWorkers::default();
-    registered.apply_full_read(vec![placed("w-1", 1, READY_ENTRY)]);
+    registered.apply_full_read(vec![stored("w-1", 1, READY_ENTRY)]);
     assert_eq!(
         registered
-            .apply_changes(vec![placed("w-1", 2, READY_ENTRY), placed("w-1", 3, READY_ENTRY)]),
+            .apply_changes(vec![stored("w-1", 2, READY_ENTRY), stored("w-1", 3, READY_ENTRY)]),
         []
     );
-    let events = registered.apply_changes(vec![placed("w-1", 4, DRAINING_ENTRY)]);
+    let events = registered.apply_changes(vec![stored("w-1", 4, DRAINING_ENTRY)]);
     assert!(
         matches!(&events[..], [Event::WorkerRegistered(entry)] if entry.draining),
         "{events:?}"
@@ -77,9 +77,9 @@
             .replace('}', &format!(r#", "capacity": {{"cpu": {cpu}, "memMb": 100, "gpu": 0}}}}"#))
     };
     let mut registered = RegisteredWorkers::default();
-    registered.apply_full_read(vec![placed("w-1", 1, &entry_with_cpu(8_000))]);
+    registered.apply_full_read(vec![stored("w-1", 1, &entry_with_cpu(8_000))]);
     for (offset, cpu) in [(2, 2_000), (3, 8_000), (4, 0)] {
-        let events = registered.apply_changes(vec![placed("w-1", offset, &entry_with_cpu(cpu))]);
+        let events = registered.apply_changes(vec![stored("w-1", offset, &entry_with_cpu(cpu))]);
         let expected = Resources::new(u64::from(cpu), 100, 0, 0);
         assert!(
             matches!(&events[..], [Event::WorkerRegistered(entry)] if entry.capacity == expected),
@@ -92,10 +92,10 @@
 #[test]
 fn a_removed_worker_is_gone_once_a_full_read_confirms_it() {
     let mut registered = RegisteredWorkers::default();
-    registered.apply_full_read(vec![placed("w-1", 1, READY_ENTRY), placed("w-2", 2, READY_ENTRY)]);
-    assert_eq!(registered.apply_changes(vec![placed("w-1", 3, ""), placed("w-2", 4, "")]), []);
+    registered.apply_full_read(vec![stored("w-1", 1, READY_ENTRY), stored("w-2", 2, READY_ENTRY)]);
+    assert_eq!(registered.apply_changes(vec![stored("w-1", 3, ""), stored("w-2", 4, "")]), []);
     assert!(registered.has_missing());
-    let events = registered.apply_full_read(vec![placed("w-2", 5, READY_ENTRY)]);
+    let events = registered.apply_full_read(vec![stored("w-2", 5, READY_ENTRY)]);
     assert!(events.contains(&Event::WorkerUnregistered(WorkerName::from("w-1"))), "{events:?}");
     assert!(events.iter().any(|event| is_listed(event, "w-2")), "{events:?}");
     assert!(!registered.has_missing());
@@ -105,7 +105,7 @@
 #[test]
 fn a_worker_that_vanishes_is_gone_after_two_full_reads() {
     let mut registered = RegisteredWorkers::default();
-    registered.apply_full_read(vec![placed("w-1", 1, READY_ENTRY)]);
+    registered.apply_full_read(vec![stored("w-1", 1, READY_ENTRY)]);
     assert_eq!(registered.apply_full_read(Vec::new()), []);
     assert!(registered.has_missing());
     assert_eq!(
