--- a/lilacpass-node/src/election.rs
+++ b/lilacpass-node/src/election.rs
@@ -366,9 +366,7 @@
                 return;
             }
             Ok(_) => {}
-            Err(err) => {
-                log::debug!(peer = address.as_str(), error:% = err; "peer does not respond")
-            }
+            Err(err) => log::debug!(peer = address.as_str(), error:% = err; "peer did not respond"),
         }
     }
 }
--- a/lilacpass-node/src/takeover.rs
+++ b/lilacpass-node/src/takeover.rs
@@ -217,9 +217,7 @@
             let state = self.states.get(key).map(|(_, state)| state.as_slice());
             match record::decode(*key, plan, state) {
                 Ok(job) => jobs.push(job),
-                Err(err) => {
-                    log::error!(job:% = key, error:% = err; "ignoring a job that cannot be decoded")
-                }
+                Err(err) => log::error!(job:% = key, error:% = err; "ignoring an undecodable job"),
             }
         }
         jobs
