--- a/lilacpass-node/src/append.rs
+++ b/lilacpass-node/src/append.rs
@@ -23,8 +23,8 @@
 /// Number of attempts at the same interval before it starts to double. Lost responses are random, and even if every
 /// second one is lost, most appends are settled by then.
 const FIXED_INTERVAL_ATTEMPTS: u32 = 4;
-/// Maximum interval after which an append is sent again besides those in flight, unless the store is known to be
-/// slower. It bounds how long after the end of an outage the append is stored. When only the response to the last
+/// Maximum interval after which an append is sent again while earlier attempts are in flight, unless the store is known
+/// to be slower. It bounds how long after the end of an outage the append is stored. When only the response to the last
 /// attempt was awaited, for up to 3 s, all jobs submitted in the 3 s after an outage of 4 s were lost.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// Timeout of a single attempt, in addition to its transfer time.
@@ -102,8 +102,8 @@
 /// Sends an append until the store has confirmed or rejected it. `typical_latency` is the latency of the store, and
 /// `transfer_time` the time that the append needs on the link in addition.
 ///
-/// An append without a response may still be executed, so it is sent again under the same sequence number, besides the
-/// attempts in flight. The store executes it once and gives each attempt the same response.
+/// An append without a response may still be executed, so it is sent again under the same sequence number, while the
+/// earlier attempts are in flight. The store executes it once and gives each attempt the same response.
 pub async fn send_until_settled<F>(
     send: impl Fn() -> F,
     typical_latency: Duration,
--- a/lilacpass-node/src/election.rs
+++ b/lilacpass-node/src/election.rs
@@ -302,7 +302,8 @@
     }
 }
 
-/// Waits for up to `max_wait` for `read` to return new records, and returns them as soon as it does.
+/// Waits for up to `max_wait` for `read` to return new records, and returns them as soon as it does. If there are none,
+/// it waits for the whole time even if `read` ends early, so that two instances do not take over from each other.
 ///
 /// Instances that see another's announcement must not sleep for the whole [`CLAIM_WAIT`]. After a power failure of all
 /// instances, seven of nine noticed the new leader only 1.2 s after it had taken over, and refused their clients'
@@ -331,9 +332,7 @@
     let is_lead = |stored: &&StoredRecord| stored.record.key == takeover::LEAD_KEY;
     let stored = records.iter().filter(is_lead).max_by_key(|stored| stored.offset)?;
     v1::LeadRecord::decode(stored.record.value.as_slice())
-        .inspect_err(
-            |err| log::warn!(error:% = err; "ignoring a leader record that cannot be decoded"),
-        )
+        .inspect_err(|err| log::warn!(error:% = err; "ignoring an undecodable leader record"))
         .ok()
 }
 
--- a/lilacpass-node/src/intake.rs
+++ b/lilacpass-node/src/intake.rs
@@ -29,8 +29,8 @@
         self.events.push_back(message);
     }
 
-    /// Adds a request. Requests stay in order of arrival. If a cancellation overtook the submission of its job, it
-    /// would be told that there is no such job, and the job would run.
+    /// Adds a request. Requests stay in order of arrival. If a cancellation overtook the submission of its job, the
+    /// response would be that there is no such job, and the job would run.
     pub fn push_request(&mut self, message: M) {
         self.requests.push_back(message);
     }
--- a/lilacpass-node/src/leader_loop.rs
+++ b/lilacpass-node/src/leader_loop.rs
@@ -119,9 +119,12 @@
     leader: Leader,
     messages: mpsc::UnboundedSender<Message>,
     queue: IntakeQueue<Message>,
+    /// Channels for the responses to clients whose requests are in progress.
     responders: HashMap<RequestId, oneshot::Sender<Response>>,
     next_request_id: u64,
+    /// Sequence number of the next append to the job log.
     next_sequence: u64,
+    /// Time of the next update of lanes and relays, on the steady clock.
     next_lanes_update_ms: u64,
     is_deposed: bool,
 }
--- a/lilacpass-node/src/relays.rs
+++ b/lilacpass-node/src/relays.rs
@@ -76,7 +76,7 @@
     }
 }
 
-/// The relays of one leadership.
+/// The relays of one leadership, and their orders in progress.
 #[derive(Debug, Default)]
 pub struct Relays {
     epoch: u64,
@@ -90,9 +90,13 @@
     consecutive_failures: HashMap<String, u32>,
     /// Workers that a relay has reported as unresponsive and that the leader has not polled directly since.
     suspected_workers: HashMap<WorkerName, Rc<str>>,
+    /// Number of orders since the last review.
     orders: u64,
+    /// Bytes of these orders, including headers.
     bytes: u64,
+    /// Moving average of the load.
     load: Load,
+    /// Time of the last review, on the steady clock.
     reviewed_ms: u64,
 }
 
--- a/lilacpass-node/src/takeover.rs
+++ b/lilacpass-node/src/takeover.rs
@@ -62,6 +62,7 @@
 pub struct Snapshot {
     records: JobRecords,
     end: u64,
+    /// When the read started.
     start: Instant,
 }
 
@@ -181,7 +182,9 @@
 struct JobRecords {
     plans: HashMap<JobKey, (u64, Vec<u8>)>,
     states: HashMap<JobKey, (u64, Vec<u8>)>,
+    /// Whether records after the first page's end are being read.
     reading_tail: bool,
+    /// Whether another instance has taken over since the read started.
     other_leader_seen: bool,
 }
 
--- a/lilacpass-node/tests/leader_wait.rs
+++ b/lilacpass-node/tests/leader_wait.rs
@@ -10,7 +10,7 @@
 };
 use tokio::time::{self, Instant};
 
-const WATCH: Duration = Duration::from_millis(1_300);
+const MAX_WAIT: Duration = Duration::from_millis(1_300);
 
 fn lead() -> StoredRecord {
     StoredRecord { offset: 7, record: Record { key: "lead".to_owned(), value: vec![1] } }
@@ -25,7 +25,7 @@
         time::sleep(Duration::from_millis(100)).await;
         Ok(ReadOutcome::Records { records: vec![lead()], end: 8 })
     };
-    assert_eq!(election::wait_for_records(read, WATCH).await, [lead()]);
+    assert_eq!(election::wait_for_records(read, MAX_WAIT).await, [lead()]);
     assert_eq!(begin.elapsed(), Duration::from_millis(100));
 }
 
@@ -35,14 +35,14 @@
 async fn the_whole_wait_elapses_if_nothing_is_written() {
     let begin = Instant::now();
     let nothing = async { Ok(ReadOutcome::Records { records: Vec::new(), end: 7 }) };
-    assert_eq!(election::wait_for_records(nothing, WATCH).await, []);
-    assert_eq!(begin.elapsed(), WATCH);
+    assert_eq!(election::wait_for_records(nothing, MAX_WAIT).await, []);
+    assert_eq!(begin.elapsed(), MAX_WAIT);
     let begin = Instant::now();
     let failed = async { Err(Error::Busy(503)) };
-    assert_eq!(election::wait_for_records(failed, WATCH).await, []);
-    assert_eq!(begin.elapsed(), WATCH);
+    assert_eq!(election::wait_for_records(failed, MAX_WAIT).await, []);
+    assert_eq!(begin.elapsed(), MAX_WAIT);
     let begin = Instant::now();
-    let silent = std::future::pending::<Result<ReadOutcome, Error>>();
-    assert_eq!(election::wait_for_records(silent, WATCH).await, []);
-    assert_eq!(begin.elapsed(), WATCH);
+    let unresponsive = std::future::pending::<Result<ReadOutcome, Error>>();
+    assert_eq!(election::wait_for_records(unresponsive, MAX_WAIT).await, []);
+    assert_eq!(begin.elapsed(), MAX_WAIT);
 }
--- a/lilacpass-node/tests/relays.rs
+++ b/lilacpass-node/tests/relays.rs
@@ -149,7 +149,7 @@
 }
 
 /// Guards against running tasks twice when the leader is lost while its relays have orders in progress: those must not
-/// run besides what its successor starts.
+/// run concurrently with what its successor starts.
 #[test]
 fn relays_of_a_lost_leader_follow_its_successor() {
     cluster::run(FIRST_PORT + 150, &CPU_SHARES, async |mut cluster| {
--- a/lilacpass-node/tests/thin_store.rs
+++ b/lilacpass-node/tests/thin_store.rs
@@ -94,8 +94,8 @@
 
 /// Guards against a leader with a thin link that cannot store anything any more, so that no job is accepted or
 /// assigned. 300 KB of records have accumulated, which take 1.2 s over 2 Mbit/s. The append was sent again after 90 ms,
-/// and again, besides the attempts in flight. All copies shared the link, none was complete after 3 s, and new ones
-/// took their place.
+/// and again, while earlier attempts were in flight. All copies shared the link, none was complete after 3 s, and new
+/// ones took their place.
 #[test]
 fn a_large_append_is_stored_over_a_thin_link() {
     const RECORD_BYTES: usize = 300_000;
