--- a/lilacpass-node/tests/leader_wait.rs
+++ b/lilacpass-node/tests/watch.rs
@@ -1,4 +1,4 @@
-//! Waiting for a record of the next leader.
+//! Watching for the record of the next leader.
 
 use std::time::Duration;
 
