--- a/lilacpass-node/src/leader_loop.rs
+++ b/lilacpass-node/src/leader_loop.rs
@@ -1,4 +1,4 @@
-//! Runs the leader: brings it events, carries out what it asks for.
+//! Runs the leader: passes events to its state machine and executes the effects it requests.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -19,27 +19,27 @@
 use crate::{
     append::{self, AppendError},
     clock, handover,
-    leader_handle::{Inspect, LeaderHandle, Message},
-    message_queue::MessageQueue,
+    intake::IntakeQueue,
+    leader_handle::{LeaderHandle, Message, OperatorQuery},
     metrics,
     node::{LeaderView, Node},
     orders, peers, registry_watch,
-    relay_selection::{Candidate, LeaderCapacity},
+    relay_choice::{Candidate, LeaderCapacity},
     relays::Relays,
     takeover::{self, NewLeadership},
 };
 
-/// Time between ticks of the leader, which bound how late it notices that a time has passed.
+/// Interval of the leader's ticks, which bounds how late it notices that a deadline has passed.
 const TICK: Duration = Duration::from_millis(50);
-/// Time between renewals in the store. Followers that can't reach a leader watch for one for 0.3 s
-/// or longer.
+/// Interval between renewals of the leader record. Followers that cannot reach a leader wait at least about 0.3 s for
+/// one.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between updates of the lanes.
+/// Interval between updates of the lanes, in milliseconds.
 const LANES_INTERVAL_MS: u64 = 200;
-/// Added to the time that a call for advice should take, before it is given up.
+/// Added to the expected duration of an advice call to obtain its timeout.
 const ADVICE_SLACK: Duration = Duration::from_millis(900);
 
-/// Begins to lead.
+/// Starts to lead.
 pub fn start(node: &Rc<Node>, leadership: NewLeadership) {
     let (messages, inbox) = mpsc::unbounded_channel();
     let (end, ended) = watch::channel(false);
@@ -59,7 +59,7 @@
         epoch: leadership.epoch,
         leader,
         messages,
-        queue: MessageQueue::default(),
+        queue: IntakeQueue::default(),
         responders: HashMap::new(),
         next_request_id: 0,
         next_sequence: leadership.sequence + 1,
@@ -69,6 +69,7 @@
     task::spawn_local(leader_loop.run(inbox, end));
 }
 
+/// Options of the leader within the bounds that the platform sets.
 fn options(node: &Node) -> Options {
     let bounds = &node.settings.bounds;
     let defaults = Options::default();
@@ -79,7 +80,8 @@
     }
 }
 
-/// Renews the record of the leader, which shows to all that it lives, and to it that it still leads.
+/// Renews the leader record. Renewals show followers that the leader is alive, and confirm to the leader that it still
+/// leads.
 async fn renew(
     node: Rc<Node>,
     epoch: u64,
@@ -87,7 +89,7 @@
     messages: mpsc::UnboundedSender<Message>,
 ) {
     let partition = takeover::lead_partition();
-    // The first tells who leads, and is sent at once.
+    // The first renewal announces the new leader, and is written without delay.
     let mut renewal = 0;
     while !messages.is_closed() {
         let record = takeover::lead_record(&node, epoch, renewal);
@@ -110,34 +112,39 @@
     }
 }
 
+/// Event loop around the leader's state machine.
 struct LeaderLoop {
     node: Rc<Node>,
     epoch: u64,
     leader: Leader,
     messages: mpsc::UnboundedSender<Message>,
-    queue: MessageQueue<Message>,
+    queue: IntakeQueue<Message>,
+    /// Channels for the responses to clients whose requests are in progress.
     responders: HashMap<RequestId, oneshot::Sender<Response>>,
     next_request_id: u64,
+    /// Sequence number of the next append to the job log.
     next_sequence: u64,
+    /// Time of the next update of lanes and relays, on the steady clock.
     next_lanes_update_ms: u64,
     is_deposed: bool,
 }
 
 impl LeaderLoop {
+    /// Handles messages until this instance is deposed.
     async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<Message>, end: watch::Sender<bool>) {
         let mut ticks = time::interval(TICK);
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         while !self.is_deposed {
             let has_more = !self.queue.is_empty() || self.leader.has_more();
             tokio::select! {
-                // A tick that is due comes first: it shows how late the leader is, and lets leases lapse.
+                // A due tick takes precedence: it measures how late the leader is, and expires leases.
                 biased;
                 _ = ticks.tick() => self.tick(),
                 message = inbox.recv() => {
                     let Some(message) = message else { break };
                     self.enqueue(message);
                 }
-                // Calls, answers and renewals of the lead go on between two rounds.
+                // Lets calls, responses and renewals make progress between two rounds.
                 () = task::yield_now(), if has_more => {}
             }
             while let Ok(message) = inbox.try_recv() {
@@ -151,13 +158,14 @@
         self.node.leader_handle.borrow_mut().take();
         *self.node.relays.borrow_mut() = Relays::default();
         self.node.metrics.leadership_lost();
-        log::info!(epoch = self.epoch; "leads no more");
+        log::info!(epoch = self.epoch; "leadership ended");
         end.send_replace(true);
     }
 
+    /// Sorts a message into the queue of events or of requests.
     fn enqueue(&mut self, message: Message) {
         match message {
-            Message::Ask(..) | Message::Inspect(..) => self.queue.push_request(message),
+            Message::Request(..) | Message::Inspect(..) => self.queue.push_request(message),
             Message::Event(_)
             | Message::NotAppended { .. }
             | Message::Deposed
@@ -165,23 +173,24 @@
         }
     }
 
+    /// Passes a message to the leader, or acts on it here.
     fn handle(&mut self, message: Message) {
         let now = clock::now();
         match message {
             Message::Event(event) => self.leader.handle(event, now),
-            Message::Ask(request, caller) => {
+            Message::Request(request, client) => {
                 let request_id = RequestId(self.next_request_id);
                 self.next_request_id += 1;
-                self.responders.insert(request_id, caller);
+                self.responders.insert(request_id, client);
                 self.leader.handle(Event::Request { request_id, request }, now);
             }
             Message::NotAppended { next_sequence } => {
                 self.next_sequence = next_sequence;
                 self.leader.handle(Event::NotAppended, now);
             }
-            Message::Inspect(inspect, operator) => {
-                // An operator that has left needs no answer.
-                let _disconnected = operator.send(self.inspect(inspect));
+            Message::Inspect(query, operator) => {
+                // The operator may have disconnected.
+                let _disconnected = operator.send(self.inspect(query));
             }
             Message::Deposed => self.is_deposed = true,
             Message::Resign => {
@@ -192,16 +201,17 @@
         }
     }
 
-    fn inspect(&self, inspect: Inspect) -> serde_json::Value {
+    /// Answers an operator's query as JSON.
+    fn inspect(&self, query: OperatorQuery) -> serde_json::Value {
         let now = clock::now();
-        let value = match inspect {
-            Inspect::Status => self.status(now),
-            Inspect::Job(key) => serde_json::to_value(self.leader.explain(key, now)),
+        let value = match query {
+            OperatorQuery::Status => self.status(now),
+            OperatorQuery::Job(key) => serde_json::to_value(self.leader.explain(key, now)),
         };
         value.unwrap_or_else(|err| serde_json::json!({ "error": err.to_string() }))
     }
 
-    /// The state of the cell, with the instances that relay orders.
+    /// The state of the cell, including the relays.
     fn status(&self, now: Now) -> serde_json::Result<serde_json::Value> {
         let status = self.leader.status(now);
         let workers = status.workers.iter().map(|w| (w.name.as_str(), w.data_centre.as_str()));
@@ -211,6 +221,7 @@
         Ok(status)
     }
 
+    /// Handles a tick, and updates lanes, relays and metrics.
     fn tick(&mut self) {
         let now = clock::now();
         if now.steady_ms >= self.next_lanes_update_ms {
@@ -224,10 +235,11 @@
         let pressure = self.leader.pressure();
         let behind = Duration::from_millis(pressure.behind_ms());
         self.node.metrics.pressure(pressure.level(), behind);
-        let tally = self.leader.take_counters();
-        self.node.metrics.record_counters(&tally);
+        let counters = self.leader.take_counters();
+        self.node.metrics.record_counters(&counters);
     }
 
+    /// Chooses the relays from the instances that are present.
     fn review_relays(&self, now_ms: u64) {
         let settings = &self.node.settings;
         let capacity = LeaderCapacity { cpu_millis: settings.cpu_millis, link: settings.link.0 };
@@ -240,8 +252,8 @@
         self.node.relays.borrow_mut().review(capacity, candidates.collect(), now_ms);
     }
 
-    /// By which relay an order to a worker goes. Workers that have just not answered are called from here: it may be
-    /// the relay that does not reach them.
+    /// The relay for an order to a worker, or `None` to send it directly. Workers that failed to respond lately are
+    /// called directly, because it may be the relay that cannot reach them.
     fn relay_for(&self, worker: &WorkerName, payload_bytes: usize) -> orders::Route {
         let mut relays = self.node.relays.borrow_mut();
         relays.count_order(payload_bytes);
@@ -252,13 +264,14 @@
         relays.relay_for(worker, data_centre)
     }
 
-    /// Instances that can call for advice: this one, and those that greet it.
+    /// Instances that can make advice calls: this one, and those that send it heartbeats.
     fn lanes(&self, now_ms: u64) -> Vec<Lane> {
         let members = self.node.members.borrow();
         let peers = members.present(now_ms).map(|(address, _)| Lane(address.to_owned()));
         peers.chain([Lane(self.node.peer_address())]).collect()
     }
 
+    /// Executes the effects that the leader has requested.
     fn execute_effects(&mut self) {
         for effect in self.leader.finish(clock::now()) {
             self.execute_effect(effect);
@@ -268,9 +281,9 @@
     fn execute_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Reply { request_id, response } => {
-                if let Some(caller) = self.responders.remove(&request_id) {
-                    // A caller that has left needs no answer.
-                    let _disconnected = caller.send(response);
+                if let Some(client) = self.responders.remove(&request_id) {
+                    // The client may have disconnected.
+                    let _disconnected = client.send(response);
                 }
             }
             Effect::Append(records) => self.append(records),
@@ -283,7 +296,7 @@
                 answer_ms,
                 extra,
             } => {
-                let look = PollOrder {
+                let poll = PollOrder {
                     lease_until_ms,
                     forget_up_to,
                     wait_ms,
@@ -296,7 +309,7 @@
                     let sent_ms = clock::now().steady_ms;
                     let target = Target { name: &worker, address: &address, epoch };
                     let sent = time::Instant::now();
-                    let result = orders::poll(&node, route, target, look).await;
+                    let result = orders::poll(&node, route, target, poll).await;
                     node.metrics.order("look", metrics::outcome(&result), sent.elapsed());
                     Event::Polled { worker, sent_ms, extra, result }
                 });
@@ -355,12 +368,13 @@
                 });
             }
             Effect::Deposed => {
-                log::info!(epoch = self.epoch; "a worker has heard of a later leader");
+                log::info!(epoch = self.epoch; "a worker reported a newer leader");
                 self.is_deposed = true;
             }
         }
     }
 
+    /// Stores records in the job log, and reports the result to the event loop.
     fn append(&mut self, records: Vec<Record>) {
         let calls = append::split(&records, self.node.settings.max_append_bytes);
         let first_sequence = self.next_sequence;
@@ -386,16 +400,17 @@
                     }
                 }
             }
-            // The loop has ended where nobody listens.
+            // The event loop may have ended.
             let _stopped = messages.send(message);
         });
     }
 
+    /// Runs `work` in a task, and passes its event to the event loop.
     fn spawn(&self, work: impl Future<Output = Event> + 'static) {
         let messages = self.messages.clone();
         task::spawn_local(async move {
             let event = work.await;
-            // The loop has ended where nobody listens.
+            // The event loop may have ended.
             let _stopped = messages.send(Message::Event(event));
         });
     }
--- a/lilacpass-node/src/operator_api.rs
+++ b/lilacpass-node/src/operator_api.rs
@@ -1,5 +1,5 @@
-//! What operators can ask an instance: its own state, the state of the cell, and why a job is where
-//! it is. The last two are answered by the leader; any other instance names it.
+//! Queries of operators: the state of an instance, the state of the cell, and why a job is in its current state. Only
+//! the leader can answer the last two; other instances name it in their response.
 
 use bytes::Bytes;
 use http::StatusCode;
@@ -7,36 +7,36 @@
 use lilacpass_platform::server::Reply;
 use serde_json::{Value, json};
 
-use crate::{clock, leader_handle::Inspect, node::Node};
+use crate::{clock, leader_handle::OperatorQuery, node::Node};
 
 /// Path of the state of an instance.
 pub const INSTANCE_PATH: &str = "/operator/instance";
 /// Path of the state of the cell.
 pub const STATUS_PATH: &str = "/operator/status";
-/// Path before the id of a job.
+/// Path prefix that is followed by the id of a job.
 pub const EXPLAIN_PATH: &str = "/operator/explain/";
 
-/// Serves an operator.
+/// Handles an operator's request.
 pub async fn serve(node: &Node, path: &str) -> Reply {
     if path == INSTANCE_PATH {
-        return ok(&instance(node));
+        return ok(&instance_status(node));
     }
-    let inspect = if path == STATUS_PATH {
-        Inspect::Status
+    let query = if path == STATUS_PATH {
+        OperatorQuery::Status
     } else if let Some(key) = path.strip_prefix(EXPLAIN_PATH) {
         match key.parse::<JobKey>() {
-            Ok(key) => Inspect::Job(key),
+            Ok(key) => OperatorQuery::Job(key),
             Err(err) => return Reply::error(StatusCode::BAD_REQUEST, &err.to_string()),
         }
     } else {
         return Reply::error(StatusCode::NOT_FOUND, "no such call");
     };
-    let lead = node.leader_handle.borrow().clone();
-    let answer = match lead {
-        Some(lead) => lead.inspect(inspect).await,
+    let leader = node.leader_handle.borrow().clone();
+    let response = match leader {
+        Some(leader) => leader.inspect(query).await,
         None => None,
     };
-    match answer {
+    match response {
         Some(Value::Null) => Reply::error(StatusCode::NOT_FOUND, "no such job"),
         Some(value) => ok(&value),
         None => {
@@ -47,7 +47,8 @@
     }
 }
 
-fn instance(node: &Node) -> Value {
+/// The state of this instance.
+fn instance_status(node: &Node) -> Value {
     let view = node.leader.borrow().clone();
     let now_ms = clock::now().steady_ms;
     json!({
--- a/lilacpass-node/src/relay_messages.rs
+++ b/lilacpass-node/src/relay_messages.rs
@@ -1,4 +1,4 @@
-//! Orders and their outcomes as they travel between the leader and an instance that relays them.
+//! Conversion of orders and their outcomes to and from the messages between the leader and its relays.
 
 use lilacpass_core::Verdict;
 use lilacpass_jobs::{JobKey, RunEnd, StepName, TaskName};
@@ -6,28 +6,28 @@
 use lilacpass_platform::workers::{PollOrder, StartOrder};
 use lilacpass_schema::v1;
 
-/// An order without its number, and what it does where it is a start.
+/// An order that has no number yet, and the payload if it is a start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Order {
-    /// The order; the place of its payload is set when it is sent.
+    /// The order; the index of its payload is set when it is sent.
     pub message: v1::RelayedOrder,
-    /// What a start does; empty for others.
+    /// Payload of a start; empty for other orders.
     pub payload: String,
 }
 
-/// A look at a worker.
-pub fn poll(worker: &str, address: &str, look: PollOrder) -> Order {
+/// Encodes a poll of a worker.
+pub fn poll(worker: &str, address: &str, poll: PollOrder) -> Order {
     let look = v1::RelayedLook {
-        lease_until_ms: look.lease_until_ms,
-        forget_upto: look.forget_up_to,
-        wait_ms: look.wait_ms as u32,
-        answer_ms: look.response_timeout_ms as u32,
+        lease_until_ms: poll.lease_until_ms,
+        forget_upto: poll.forget_up_to,
+        wait_ms: poll.wait_ms as u32,
+        answer_ms: poll.response_timeout_ms as u32,
     };
     let message = v1::RelayedOrder { look: Some(look), ..addressed_to(worker, address) };
     Order { message, payload: String::new() }
 }
 
-/// A start.
+/// Encodes a start.
 pub fn start(worker: &str, address: &str, start: StartOrder<'_>) -> Order {
     let payload = start.payload.to_owned();
     let start = v1::RelayedStart {
@@ -41,7 +41,7 @@
     Order { message, payload }
 }
 
-/// A stop.
+/// Encodes a stop.
 pub fn stop(worker: &str, address: &str, task: TaskName, run: u32) -> Order {
     let stop = v1::RelayedStop { run: Some(write_run(task, run)) };
     let message = v1::RelayedOrder { stop: Some(stop), ..addressed_to(worker, address) };
@@ -53,19 +53,19 @@
     v1::RelayedOrder { worker, address, ..Default::default() }
 }
 
-/// A run as it travels.
+/// Encodes a run.
 fn write_run(task: TaskName, run: u32) -> v1::RelayedRun {
     let TaskName { step: StepName { job, occurrence, step }, index } = task;
     v1::RelayedRun { job: job.0, occurrence, step, index, run }
 }
 
-/// Reads a run; none where it is missing.
+/// Decodes a run; `None` if it is missing.
 pub fn read_run(run: Option<&v1::RelayedRun>) -> Option<(TaskName, u32)> {
     let v1::RelayedRun { job, occurrence, step, index, run } = *run?;
     Some((StepName { job: JobKey(job), occurrence, step }.task(index), run))
 }
 
-/// Reads a look.
+/// Decodes a poll.
 pub fn read_poll(look: &v1::RelayedLook) -> PollOrder {
     PollOrder {
         lease_until_ms: look.lease_until_ms,
@@ -75,7 +75,7 @@
     }
 }
 
-/// What came of an order.
+/// Encodes the outcome of an order.
 pub fn order_outcome(number: u64, result: Result<(), CallError>) -> v1::RelayedOutcome {
     let outcome = match result {
         Ok(()) => v1::OrderOutcome::OrderDone,
@@ -99,20 +99,20 @@
     message
 }
 
-/// What came of a look.
+/// Encodes the outcome of a poll.
 pub fn poll_outcome(number: u64, result: Result<PollResponse, CallError>) -> v1::RelayedOutcome {
     match result {
-        Ok(answer) => {
-            let answer = Some(write_answer(answer));
+        Ok(response) => {
+            let answer = Some(write_poll_response(response));
             v1::RelayedOutcome { answer, ..order_outcome(number, Ok(())) }
         }
         Err(err) => order_outcome(number, Err(err)),
     }
 }
 
-/// Reads what came of an order; of a look that was answered, the answer.
+/// Decodes the outcome of an order, with the worker's response if it is a poll that succeeded.
 ///
-/// An outcome that makes no sense counts as none: the order may have been carried out.
+/// An outcome that is malformed counts as no outcome: the order may have been executed.
 pub fn read_outcome(message: v1::RelayedOutcome) -> Result<Option<PollResponse>, CallError> {
     let refused = |refusal| Err(CallError::Refused(refusal));
     match message.outcome() {
@@ -128,14 +128,14 @@
         v1::OrderOutcome::OrderRefusedMalformed => refused(Refusal::Malformed),
         v1::OrderOutcome::OrderDone => match message.answer {
             None => Ok(None),
-            Some(answer) => {
-                read_answer(answer).map(Some).ok_or(CallError::Failed(Verdict::MayHaveRun))
+            Some(response) => {
+                read_poll_response(response).map(Some).ok_or(CallError::Failed(Verdict::MayHaveRun))
             }
         },
     }
 }
 
-fn write_answer(answer: PollResponse) -> v1::RelayedAnswer {
+fn write_poll_response(response: PollResponse) -> v1::RelayedAnswer {
     let running = |row: ReportedRun| v1::RelayedRunning {
         run: Some(write_run(row.task, row.run)),
         checkpoint: row.checkpoint,
@@ -149,16 +149,16 @@
         checkpoint: row.end.checkpoint,
     };
     v1::RelayedAnswer {
-        clock_ms: answer.clock_ms,
-        running: answer.running.into_iter().map(running).collect(),
-        ends: answer.ends.into_iter().map(end).collect(),
-        remaining_ms: answer.remaining_ms,
+        clock_ms: response.clock_ms,
+        running: response.running.into_iter().map(running).collect(),
+        ends: response.ends.into_iter().map(end).collect(),
+        remaining_ms: response.remaining_ms,
     }
 }
 
-/// Reads the answer to a look. None where a row does not name its run: a run that is left out counts as gone, and its
-/// task would run twice.
-fn read_answer(answer: v1::RelayedAnswer) -> Option<PollResponse> {
+/// Decodes the response to a poll. Returns `None` if a row does not name its run: a run that is left out would count as
+/// gone, and its task would run twice.
+fn read_poll_response(response: v1::RelayedAnswer) -> Option<PollResponse> {
     let running = |row: v1::RelayedRunning| {
         let (task, run) = read_run(row.run.as_ref())?;
         let v1::RelayedRunning { checkpoint, percent, gauge, .. } = row;
@@ -166,17 +166,17 @@
     };
     let end = |row: v1::RelayedEnd| {
         let (task, run) = read_run(row.run.as_ref())?;
-        let how = row.how.parse().ok()?;
+        let reason = row.how.parse().ok()?;
         Some(ReportedEnd {
             number: row.number,
             task,
-            end: RunEnd { run, reason: how, checkpoint: row.checkpoint },
+            end: RunEnd { run, reason, checkpoint: row.checkpoint },
         })
     };
     Some(PollResponse {
-        clock_ms: answer.clock_ms,
-        running: answer.running.into_iter().map(running).collect::<Option<_>>()?,
-        ends: answer.ends.into_iter().map(end).collect::<Option<_>>()?,
-        remaining_ms: answer.remaining_ms,
+        clock_ms: response.clock_ms,
+        running: response.running.into_iter().map(running).collect::<Option<_>>()?,
+        ends: response.ends.into_iter().map(end).collect::<Option<_>>()?,
+        remaining_ms: response.remaining_ms,
     })
 }
--- a/lilacpass-node/tests/cut_off.rs
+++ b/lilacpass-node/tests/cut_off.rs
@@ -1,5 +1,5 @@
-//! What callers are told by an instance that reaches neither the leader nor the store, with real
-//! processes on the stand-in for the platform.
+//! Responses to clients of an instance that reaches neither the leader nor the store, with real processes on the
+//! stand-in for the platform.
 
 mod cluster;
 
@@ -17,16 +17,16 @@
 use tokio::{task, time};
 
 const FIRST_PORT: u16 = 22_850;
-/// How often something is looked for before it counts as missing, and the pause between.
-const LOOKS: u32 = 300;
-const PAUSE: Duration = Duration::from_millis(100);
+/// How often a condition is checked before the test fails, and the interval between checks.
+const MAX_POLLS: u32 = 300;
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Asks for a count over a connection of its own, and returns the head of the answer.
-fn ask(address: &str) -> String {
+/// Requests the number of pending jobs over a new connection, and returns the head of the response.
+fn request_pending_count(address: &str) -> String {
     get(address, &format!("/{}/", QUEUES[0].name))
 }
 
-/// Asks for something over a connection of its own, and returns the head of the answer.
+/// Sends a GET request over a new connection, and returns the head of the response.
 fn get(address: &str, path: &str) -> String {
     let Ok(mut stream) = TcpStream::connect(address) else { return String::new() };
     let head = format!("GET {path} HTTP/1.1\r\nHost: {HOST}\r\nX-Deadline-Ms: 3000\r\n\r\n");
@@ -34,15 +34,15 @@
     stream.set_read_timeout(timeout).expect("a timeout");
     stream.write_all(head.as_bytes()).expect("sent");
     let mut bytes = [0; 1_024];
-    let read = stream.read(&mut bytes).expect("an answer");
+    let read = stream.read(&mut bytes).expect("a response");
     String::from_utf8_lossy(&bytes[..read]).to_lowercase()
 }
 
-/// Shopkeepers of one data centre are refused for as long as it is cut off, though the others serve:
-/// their connections stay open, and the balancer sends only new connections elsewhere.
+/// Guards against refusing the clients of a data centre for as long as it is cut off although the others serve: their
+/// connections stayed open, and the load balancer redirects only new ones.
 #[test]
-fn a_caller_that_is_refused_for_want_of_a_leader_is_let_go() {
-    cluster::play(FIRST_PORT, &[1.0, 1.0], async |mut cluster| {
+fn a_refused_client_is_disconnected_if_there_is_no_leader() {
+    cluster::run(FIRST_PORT, &[1.0, 1.0], async |mut cluster| {
         cluster.instances.iter_mut().for_each(|instance| instance.start().expect("started"));
         for instance in &cluster.instances {
             let is_open =
@@ -52,42 +52,43 @@
         let leader = cluster.callers.leader(&cluster.peer_addresses()).await.expect("one leads");
         cluster.cell.faults.replace(Faults { store_down: true, ..Faults::default() });
         cluster.instances[leader].kill().expect("killed");
-        let is_let_go = |head: &str| head.contains(" 503 ") && head.contains("connection: close");
-        wait_for(&cluster.instances[1 - leader].callers_address, is_let_go).await;
+        let is_disconnected =
+            |head: &str| head.contains(" 503 ") && head.contains("connection: close");
+        wait_for(&cluster.instances[1 - leader].callers_address, is_disconnected).await;
     });
 }
 
-/// Callers who ask for the state of their jobs are told that there is no leader, while the store is silent for
-/// all: instances that the store had answered just before tried to take over, and greeted the leader
-/// no more until their calls to the store had failed.
+/// Guards against telling clients that query the state of their jobs that there is no leader while the store is
+/// unresponsive to all instances. Instances that the store had answered just before tried to take over, and sent the
+/// leader no heartbeats until their store calls had failed.
 #[test]
-fn states_are_told_while_the_store_is_silent() {
-    const POLLS: u32 = 60;
-    cluster::play(FIRST_PORT + 50, &[1.0, 1.0], async |mut cluster| {
+fn job_states_are_served_while_the_store_is_unresponsive() {
+    const REQUESTS: u32 = 60;
+    cluster::run(FIRST_PORT + 50, &[1.0, 1.0], async |mut cluster| {
         cluster.instances.iter_mut().for_each(|instance| instance.start().expect("started"));
         let is_served = |head: &str| head.contains(" 200 ");
         for instance in &cluster.instances {
             wait_for(&instance.callers_address, is_served).await;
         }
-        let (key, handed) = cluster.callers.submit(QUEUES[0], lasting_job()).await;
-        assert_eq!(handed, SubmitOutcome::Accepted);
+        let (key, outcome) = cluster.callers.submit(QUEUES[0], long_running_job()).await;
+        assert_eq!(outcome, SubmitOutcome::Accepted);
         let leader = cluster.callers.leader(&cluster.peer_addresses()).await.expect("one leads");
         let follower = cluster.instances[1 - leader].callers_address.clone();
         cluster.cell.faults.replace(Faults { store_slow_ms: 60_000, ..Faults::default() });
         let mut refused = 0;
-        for _ in 0..POLLS {
+        for _ in 0..REQUESTS {
             let to = follower.clone();
             let path = format!("/{}/{key}", QUEUES[0].name);
-            let head = task::spawn_blocking(move || get(&to, &path)).await.expect("asked");
+            let head = task::spawn_blocking(move || get(&to, &path)).await.expect("a result");
             refused += u32::from(!is_served(&head));
-            time::sleep(PAUSE).await;
+            time::sleep(POLL_INTERVAL).await;
         }
-        assert!(refused * 10 <= POLLS, "{refused} of {POLLS} were not told");
+        assert!(refused * 10 <= REQUESTS, "{refused} of {REQUESTS} requests were refused");
     });
 }
 
 /// A job that runs for as long as the test.
-fn lasting_job() -> v1::WorkPlan {
+fn long_running_job() -> v1::WorkPlan {
     let step = v1::WorkStep {
         count: 1,
         cpu_milli: 1_000,
@@ -98,16 +99,16 @@
     v1::WorkPlan { payload: "watch".to_owned(), steps: vec![step], ..Default::default() }
 }
 
-/// Asks until the head of the answer is as it should be.
-async fn wait_for(address: &str, is_right: impl Fn(&str) -> bool) {
+/// Repeats the request until the head of the response is as expected.
+async fn wait_for(address: &str, is_expected: impl Fn(&str) -> bool) {
     let mut head = String::new();
-    for _ in 0..LOOKS {
+    for _ in 0..MAX_POLLS {
         let to = address.to_owned();
-        head = task::spawn_blocking(move || ask(&to)).await.expect("asked");
-        if is_right(&head) {
+        head = task::spawn_blocking(move || request_pending_count(&to)).await.expect("a result");
+        if is_expected(&head) {
             return;
         }
-        time::sleep(PAUSE).await;
+        time::sleep(POLL_INTERVAL).await;
     }
-    panic!("the answer is {head:?}");
+    panic!("the response is {head:?}");
 }
--- a/lilacpass-node/tests/desired_watch.rs
+++ b/lilacpass-node/tests/desired_watch.rs
@@ -1,4 +1,4 @@
-//! How an instance follows the desired state in the store.
+//! Watching the desired state in the store.
 
 use std::{rc::Rc, time::Duration};
 
@@ -19,34 +19,34 @@
     time::{self, Instant},
 };
 
-/// Versions that were published while the store did not answer the instance.
+/// Number of versions that are published while the instance cannot reach the store.
 const VERSIONS: u64 = 12;
-/// How long one desired state takes on the way: 770 KB over 10 Mbit/s.
-const TRANSFER: Duration = Duration::from_millis(620);
+/// Transfer time of a desired state: 770 KB over 10 Mbit/s.
+const TRANSFER_TIME: Duration = Duration::from_millis(620);
 
-/// When the store stops answering, and when it answers again.
+/// When the store stops responding, and when it responds again.
 const OUTAGE: (Duration, Duration) = (Duration::from_millis(300), Duration::from_millis(2_300));
 
-/// Answers as a store does that was away while all versions but the first were published. Each read brings one, as
-/// two are longer than the most that a read brings.
-async fn answer(received: ReceivedRequest, up: Duration) -> Reply {
+/// Responds as a store that was unavailable while all versions but the first were published. Each read returns one
+/// record, as two are longer than the maximum of a read.
+async fn respond(received: ReceivedRequest, uptime: Duration) -> Reply {
     let (down, back) = OUTAGE;
-    if up >= down && up < back {
+    if uptime >= down && uptime < back {
         return Reply::status(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let last = if up < down { 1 } else { VERSIONS };
+    let last = if uptime < down { 1 } else { VERSIONS };
     let from = received.query.split('&').find_map(|part| part.strip_prefix("from="));
     let Some(from) = from else {
-        // The newest of each key are asked for without a place.
-        time::sleep(TRANSFER.min(down / 2)).await;
+        // A request without a position asks for the newest record of each key.
+        time::sleep(TRANSFER_TIME.min(down / 2)).await;
         return newest(last);
     };
-    let from: u64 = from.parse().expect("a place");
+    let from: u64 = from.parse().expect("a position");
     if from >= last {
         time::sleep(down).await;
         return read(Bytes::new(), last);
     }
-    time::sleep(TRANSFER).await;
+    time::sleep(TRANSFER_TIME).await;
     let value = load::desired_state(from + 1).to_string().into_bytes();
     let record = Record { key: desired::KEY.to_owned(), value };
     read(store::encode_records(&[record]).expect("encoded"), last)
@@ -71,24 +71,24 @@
     Rc::new(Node::new(instances::settings(store, 0.0)))
 }
 
-/// Callers of one instance are told for seconds that a queue does not exist which was added long ago. The store had
-/// not answered the instance while operators published a dozen versions; it then read all of them in order,
-/// each as long as the last, which alone counts.
+/// Guards against an instance that tells its clients for seconds that a queue does not exist which was added long ago.
+/// The instance could not reach the store while operators published a dozen versions. It then read all of them in
+/// order, although only the last one matters.
 #[test]
-fn an_instance_that_has_fallen_behind_takes_the_newest_desired_state() {
-    /// One version that is read in vain, a pause, and the newest.
-    const MOST: Duration = Duration::from_millis(2_500);
+fn a_lagging_instance_skips_to_the_newest_desired_state() {
+    /// Reading one outdated version, a pause, and reading the newest.
+    const MAX_CATCH_UP: Duration = Duration::from_millis(2_500);
     let runtime = runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     task::LocalSet::new().block_on(&runtime, async {
         let listener = server::listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let node = node(&listener.local_addr().expect("an address").to_string());
         let begin = Instant::now();
-        let handler = move |received| answer(received, begin.elapsed());
+        let handler = move |received| respond(received, begin.elapsed());
         task::spawn_local(server::serve(listener, Limits::default, handler));
         task::spawn_local(desired_watch::run(node.clone()));
         time::sleep(OUTAGE.0).await;
         assert_eq!(node.desired_version(), 1);
-        time::sleep_until(begin + OUTAGE.1 + MOST).await;
+        time::sleep_until(begin + OUTAGE.1 + MAX_CATCH_UP).await;
         assert_eq!(node.desired_version(), VERSIONS);
     });
 }
--- a/lilacpass-node/tests/main_job.rs
+++ b/lilacpass-node/tests/main_job.rs
@@ -1,4 +1,4 @@
-//! The main job with real processes on the stand-in for the platform.
+//! The main scenario with real processes on the stand-in for the platform.
 
 use std::path::PathBuf;
 
@@ -16,20 +16,20 @@
 }
 
 #[test]
-fn jobs_of_all_kinds_are_done_on_a_calm_cell() {
+fn jobs_of_all_kinds_complete_without_faults() {
     assert!(run(false, 22_300, 2));
 }
 
-/// Instances are killed and stopped, workers crash and spoil their work, and the store loses answers,
-/// goes down and forgets its history, while jobs come in. Callers still get all that was accepted.
+/// Instances are killed and stopped, workers crash and fail their tasks, and the store loses responses, is unavailable
+/// and loses its history while jobs are submitted. All accepted jobs must still complete exactly once.
 #[test]
-fn accepted_jobs_are_done_once_whatever_fails() {
+fn accepted_jobs_complete_once_despite_faults() {
     assert!(run(true, 22_500, 6));
 }
 
-/// Disturbances of each kind come at random, in series and overlapping.
+/// Random disturbances of each kind, one after another and overlapping.
 #[test]
-fn promises_hold_under_disturbances_of_a_seed() {
+fn guarantees_hold_under_seeded_disturbances() {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_lilacpass-node"));
     let options = soak::Options { program, first_port: 22_600, seed: 1, seconds: 20 };
     let runtime = runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
--- a/lilacpass-node/tests/members.rs
+++ b/lilacpass-node/tests/members.rs
@@ -1,4 +1,4 @@
-//! What an instance remembers of the others.
+//! What an instance remembers of the other instances.
 
 use lilacpass_node::members::{KnownMembers, Members, Peer};
 
@@ -22,7 +22,7 @@
     members.record_heartbeat("a:1", peer(1_000));
     let with_one = members.revision();
     members.record_heartbeat("a:1", peer(2_000));
-    assert_eq!(members.revision(), with_one, "a greeting of a known one changes nothing");
+    assert_eq!(members.revision(), with_one, "a heartbeat of a known instance changes nothing");
     members.record_heartbeat("b:1", peer(40_000));
     let with_two = members.revision();
     assert_ne!(with_two, with_one);
@@ -31,10 +31,10 @@
     assert_eq!(members.addresses(), addresses(&["b:1"]));
 }
 
-/// The leader and the store are gone, and an instance has nobody to ask who leads: it had taken an answer
-/// that left the list out for an empty list.
+/// Guards against an instance that has no peers to ask for the leader when leader and store are gone: it had taken a
+/// response that omitted the list for an empty list.
 #[test]
-fn a_list_that_was_left_out_is_kept() {
+fn an_omitted_list_keeps_the_known_one() {
     let mut known = KnownMembers::default();
     known.update(7, addresses(&["a:1", "b:1"]));
     known.update(7, Vec::new());
@@ -42,5 +42,9 @@
     known.update(8, addresses(&["b:1"]));
     assert_eq!(known.addresses, addresses(&["b:1"]));
     known.update(0, addresses(&["c:1"]));
-    assert_eq!(known.addresses, addresses(&["c:1"]), "one that counts no revisions sends all");
+    assert_eq!(
+        known.addresses,
+        addresses(&["c:1"]),
+        "a leader without revisions always sends the list"
+    );
 }
--- a/lilacpass-node/tests/peer_messages.rs
+++ b/lilacpass-node/tests/peer_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of other instances that are damaged, or come from a version that checks less.
+//! Messages of other instances that are damaged, or come from a version that validates less.
 
 mod cluster;
 
@@ -11,16 +11,16 @@
 use prost::Message;
 
 const FIRST_PORT: u16 = 22_900;
-/// Damaged messages that are sent.
+/// Number of damaged messages that are sent.
 const SEEDS: u64 = 400;
-/// Longest wait for an answer. The leader takes milliseconds; the rest is for a busy machine.
+/// Timeout for a response. The leader responds within milliseconds; the rest is for a busy machine.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A change to a message: what, where, which byte.
+/// A change to a message: kind of change, position, and byte.
 type Damage = (u8, u16, u8);
 
-/// What instances hand on to the leader, with its path.
-fn sound() -> Vec<(&'static str, Vec<u8>)> {
+/// Messages that instances forward to the leader, with their paths.
+fn valid() -> Vec<(&'static str, Vec<u8>)> {
     let queue = v1::QueuePolicy { name: "quick".to_owned(), attempts: 3, ..Default::default() };
     let step = v1::WorkStep { count: 2, cpu_milli: 100, memory_mb: 10, ..Default::default() };
     let later = v1::WorkStep { after: vec![0], ..step.clone() };
@@ -47,12 +47,12 @@
     ]
 }
 
-fn damaged(sound: &[u8], damages: &[Damage]) -> Vec<u8> {
-    let mut bytes = sound.to_vec();
-    for &(what, place, byte) in damages {
-        let at = usize::from(place) % (bytes.len() + 1);
-        match what % 4 {
-            0 if what < 64 => bytes.truncate(at),
+fn damaged(valid: &[u8], damages: &[Damage]) -> Vec<u8> {
+    let mut bytes = valid.to_vec();
+    for &(kind, position, byte) in damages {
+        let at = usize::from(position) % (bytes.len() + 1);
+        match kind % 4 {
+            0 if kind < 64 => bytes.truncate(at),
             1 => bytes.insert(at, byte),
             2 if at < bytes.len() => drop(bytes.remove(at)),
             _ if at < bytes.len() => bytes[at] = byte,
@@ -62,19 +62,19 @@
     bytes
 }
 
-/// Messages from fixed seeds.
+/// Damaged messages from fixed seeds.
 fn messages() -> Vec<(&'static str, Vec<u8>)> {
-    let sound = sound();
-    let made = Mutex::new(Vec::new());
+    let valid = valid();
+    let generated = Mutex::new(Vec::new());
     lilacpass_fuzz::check::<(u8, Vec<Damage>)>(SEEDS, 1 << 6, |(which, damages)| {
-        let (path, bytes) = &sound[usize::from(*which) % sound.len()];
-        made.lock().expect("messages").push((*path, damaged(bytes, damages)));
+        let (path, bytes) = &valid[usize::from(*which) % valid.len()];
+        generated.lock().expect("messages").push((*path, damaged(bytes, damages)));
     });
-    made.into_inner().expect("messages")
+    generated.into_inner().expect("messages")
 }
 
 /// A job of four billion tasks, and one that names an earlier step a hundred thousand times.
-fn beyond_all_bounds() -> Vec<(&'static str, Vec<u8>)> {
+fn oversized_messages() -> Vec<(&'static str, Vec<u8>)> {
     let submit = |job: u64, steps: Vec<v1::WorkStep>| {
         let plan = v1::WorkPlan { steps, ..Default::default() };
         let queue = Some(v1::QueuePolicy::default());
@@ -94,28 +94,28 @@
     Call { address, method: Method::POST, path, headers: &[], body, timeout: TIMEOUT }
 }
 
-/// The cell stops, or its leader is restarted again and again: another instance sends what this one can't read, or what
-/// its own version would have refused.
+/// Guards against a leader that crashes, or crashes again after each restart, because another instance sends a message
+/// that this one cannot decode, or that its own version would have rejected.
 #[test]
-fn messages_that_are_damaged_are_answered_and_do_no_harm() {
-    cluster::play(FIRST_PORT, &[0.5], async |mut cluster| {
+fn damaged_messages_are_answered_and_harmless() {
+    cluster::run(FIRST_PORT, &[0.5], async |mut cluster| {
         cluster.instances[0].start().expect("started");
         cluster.wait_for_leader(&[0]).await;
         let client = Client::default();
         let address = cluster.instances[0].peer_address.clone();
-        for (path, message) in messages().into_iter().chain(beyond_all_bounds()) {
-            let answer = client.call(&call(&address, path, message.clone())).await;
-            let status = answer.map(|answer| answer.status);
+        for (path, message) in messages().into_iter().chain(oversized_messages()) {
+            let response = client.call(&call(&address, path, message.clone())).await;
+            let status = response.map(|response| response.status);
             assert!(
                 matches!(status, Ok(StatusCode::OK | StatusCode::BAD_REQUEST)),
                 "{status:?} to {path} {message:?}"
             );
         }
-        let (path, message) = beyond_all_bounds().remove(0);
-        let body = client.call(&call(&address, path, message)).await.expect("an answer").body;
+        let (path, message) = oversized_messages().remove(0);
+        let body = client.call(&call(&address, path, message)).await.expect("an response").body;
         let reply = v1::PeerWorkReply::decode(body).expect("a reply");
         assert_eq!(reply.outcome(), v1::WorkOutcome::WorkInvalid, "{}", reply.detail);
-        assert!(!cluster.instances[0].has_ended().expect("asked"), "the instance has ended");
+        assert!(!cluster.instances[0].has_ended().expect("a result"), "the instance has ended");
         cluster.wait_for_leader(&[0]).await;
     });
 }
--- a/lilacpass-node/tests/registry_watch.rs
+++ b/lilacpass-node/tests/registry_watch.rs
@@ -1,4 +1,4 @@
-//! What the leader is told of registered workers, and what following them takes.
+//! Events about registered workers, and the bandwidth that watching them takes.
 
 use std::{rc::Rc, time::Duration};
 
@@ -13,10 +13,10 @@
 };
 use tokio::{runtime, sync::mpsc, task, time};
 
-const GOOD: &str = r#"{"service": "s", "address": "10.0.0.1:80", "state": "ready"}"#;
-const DRAINS: &str = r#"{"service": "s", "address": "10.0.0.1:80", "state": "draining"}"#;
+const READY_ENTRY: &str = r#"{"service": "s", "address": "10.0.0.1:80", "state": "ready"}"#;
+const DRAINING_ENTRY: &str = r#"{"service": "s", "address": "10.0.0.1:80", "state": "draining"}"#;
 
-fn placed(key: &str, offset: u64, value: &str) -> StoredRecord {
+fn stored(key: &str, offset: u64, value: &str) -> StoredRecord {
     StoredRecord {
         offset,
         record: Record { key: key.to_owned(), value: value.as_bytes().to_vec() },
@@ -27,79 +27,85 @@
     matches!(event, Event::WorkerRegistered(entry) if entry.name == WorkerName::from(name))
 }
 
-/// A worker goes on being given work after another writer has written over its entry.
+/// Guards against assigning work to a worker after another writer has overwritten its entry.
 #[test]
-fn a_worker_whose_entry_can_not_be_read_any_more_is_not_used() {
+fn a_worker_with_an_unreadable_entry_is_not_used() {
     let mut registered = RegisteredWorkers::default();
-    let events = registered.apply_full_read(vec![placed("w-1", 1, GOOD), placed("w-2", 2, "{}")]);
+    let events =
+        registered.apply_full_read(vec![stored("w-1", 1, READY_ENTRY), stored("w-2", 2, "{}")]);
     assert_eq!(events.iter().filter(|event| is_listed(event, "w-1")).count(), 1);
-    let events = registered.apply_full_read(vec![placed("w-1", 3, "{"), placed("w-2", 4, "{}")]);
+    let events = registered.apply_full_read(vec![stored("w-1", 3, "{"), stored("w-2", 4, "{}")]);
     assert_eq!(events, [Event::WorkerUnregistered(WorkerName::from("w-1"))]);
-    let events = registered.apply_full_read(vec![placed("w-1", 5, GOOD)]);
+    let events = registered.apply_full_read(vec![stored("w-1", 5, READY_ENTRY)]);
     let listed = events.iter().filter(|event| is_listed(event, "w-1")).count();
-    assert_eq!(listed, 1, "and used again once it can be read");
+    assert_eq!(listed, 1, "the worker is used again once its entry can be decoded");
 }
 
-/// The same where the entry is written over between two looks at all of them.
+/// The same for an entry that is overwritten between two full reads.
 #[test]
-fn a_change_that_can_not_be_read_ends_the_use_of_a_worker() {
+fn an_unreadable_change_ends_the_use_of_a_worker() {
     let mut registered = RegisteredWorkers::default();
-    registered.apply_full_read(vec![placed("w-1", 1, GOOD)]);
-    let events = registered.apply_changes(vec![placed("w-1", 2, "{")]);
+    registered.apply_full_read(vec![stored("w-1", 1, READY_ENTRY)]);
+    let events = registered.apply_changes(vec![stored("w-1", 2, "{")]);
     assert_eq!(events, [Event::WorkerUnregistered(WorkerName::from("w-1"))]);
-    let events = registered.apply_changes(vec![placed("w-1", 3, GOOD)]);
+    let events = registered.apply_changes(vec![stored("w-1", 3, READY_ENTRY)]);
     assert_eq!(events.iter().filter(|event| is_listed(event, "w-1")).count(), 1);
 }
 
-/// The leader spends its time on looking for work for workers that have only written that they live.
+/// Guards against a leader that spends its time looking for work for workers that have only renewed their entry.
 #[test]
-fn an_entry_that_is_written_again_with_nothing_new_is_no_news() {
+fn an_unchanged_entry_causes_no_event() {
     let mut registered = RegisteredWorkers::default();
-    registered.apply_full_read(vec![placed("w-1", 1, GOOD)]);
-    assert_eq!(registered.apply_changes(vec![placed("w-1", 2, GOOD), placed("w-1", 3, GOOD)]), []);
-    let events = registered.apply_changes(vec![placed("w-1", 4, DRAINS)]);
+    registered.apply_full_read(vec![stored("w-1", 1, READY_ENTRY)]);
+    assert_eq!(
+        registered
+            .apply_changes(vec![stored("w-1", 2, READY_ENTRY), stored("w-1", 3, READY_ENTRY)]),
+        []
+    );
+    let events = registered.apply_changes(vec![stored("w-1", 4, DRAINING_ENTRY)]);
     assert!(
         matches!(&events[..], [Event::WorkerRegistered(entry)] if entry.draining),
         "{events:?}"
     );
 }
 
-/// Guards against a leader that goes on filling a worker that has said that it has less room.
+/// Guards against a leader that goes on filling a worker after it has reported a smaller capacity.
 #[test]
-fn a_worker_that_says_it_has_another_room_is_told_to_the_leader() {
-    let says = |cpu: u32| {
-        GOOD.replace('}', &format!(r#", "capacity": {{"cpu": {cpu}, "memMb": 100, "gpu": 0}}}}"#))
+fn a_changed_capacity_is_reported_to_the_leader() {
+    let entry_with_cpu = |cpu: u32| {
+        READY_ENTRY
+            .replace('}', &format!(r#", "capacity": {{"cpu": {cpu}, "memMb": 100, "gpu": 0}}}}"#))
     };
     let mut registered = RegisteredWorkers::default();
-    registered.apply_full_read(vec![placed("w-1", 1, &says(8_000))]);
+    registered.apply_full_read(vec![stored("w-1", 1, &entry_with_cpu(8_000))]);
     for (offset, cpu) in [(2, 2_000), (3, 8_000), (4, 0)] {
-        let events = registered.apply_changes(vec![placed("w-1", offset, &says(cpu))]);
-        let room = Resources::new(u64::from(cpu), 100, 0, 0);
+        let events = registered.apply_changes(vec![stored("w-1", offset, &entry_with_cpu(cpu))]);
+        let expected = Resources::new(u64::from(cpu), 100, 0, 0);
         assert!(
-            matches!(&events[..], [Event::WorkerRegistered(entry)] if entry.capacity == room),
+            matches!(&events[..], [Event::WorkerRegistered(entry)] if entry.capacity == expected),
             "{events:?}"
         );
     }
 }
 
-/// A worker that has left goes on being counted, or one whose entry was away for a moment is given up.
+/// Guards against counting a worker that has left, and against giving up one whose entry was missing for a moment.
 #[test]
-fn a_removed_worker_is_gone_once_a_look_at_all_confirms_it() {
+fn a_removed_worker_is_gone_once_a_full_read_confirms_it() {
     let mut registered = RegisteredWorkers::default();
-    registered.apply_full_read(vec![placed("w-1", 1, GOOD), placed("w-2", 2, GOOD)]);
-    assert_eq!(registered.apply_changes(vec![placed("w-1", 3, ""), placed("w-2", 4, "")]), []);
+    registered.apply_full_read(vec![stored("w-1", 1, READY_ENTRY), stored("w-2", 2, READY_ENTRY)]);
+    assert_eq!(registered.apply_changes(vec![stored("w-1", 3, ""), stored("w-2", 4, "")]), []);
     assert!(registered.has_missing());
-    let events = registered.apply_full_read(vec![placed("w-2", 5, GOOD)]);
+    let events = registered.apply_full_read(vec![stored("w-2", 5, READY_ENTRY)]);
     assert!(events.contains(&Event::WorkerUnregistered(WorkerName::from("w-1"))), "{events:?}");
     assert!(events.iter().any(|event| is_listed(event, "w-2")), "{events:?}");
     assert!(!registered.has_missing());
 }
 
-/// An entry that was removed without a record of it is missed by a look at all, and by the next.
+/// An entry that was removed without a record is missing from one full read, and from the next.
 #[test]
-fn a_worker_that_vanishes_is_gone_after_two_looks_at_all() {
+fn a_worker_that_vanishes_is_gone_after_two_full_reads() {
     let mut registered = RegisteredWorkers::default();
-    registered.apply_full_read(vec![placed("w-1", 1, GOOD)]);
+    registered.apply_full_read(vec![stored("w-1", 1, READY_ENTRY)]);
     assert_eq!(registered.apply_full_read(Vec::new()), []);
     assert!(registered.has_missing());
     assert_eq!(
@@ -108,12 +114,12 @@
     );
 }
 
-/// An instance with a link of 2 Mbit/s leads, and accepted work is lost on a calm day: renewals, looks and orders wait
-/// behind the list of all workers, which is read twice a second.
+/// Guards against losing accepted work without any fault under a leader with a link of 2 Mbit/s: renewals, polls and
+/// orders had to wait for the list of all workers, which was read twice a second.
 #[test]
-fn following_the_workers_leaves_a_thin_link_free() {
-    const LINK_BYTES_A_SECOND: u64 = 250_000;
-    const LASTS: Duration = Duration::from_secs(4);
+fn watching_the_workers_leaves_a_thin_link_free() {
+    const LINK_BYTES_PER_SECOND: u64 = 250_000;
+    const DURATION: Duration = Duration::from_secs(4);
     let shape = CellConfig {
         workers: 200,
         workers_per_data_centre: 40,
@@ -126,10 +132,10 @@
         let node = Rc::new(Node::new(instances::settings(&cell.store_address, 2.0)));
         let (messages, mut inbox) = mpsc::unbounded_channel();
         task::spawn_local(registry_watch::run(node, messages));
-        time::sleep(LASTS).await;
+        time::sleep(DURATION).await;
         inbox.close();
-        let most = LINK_BYTES_A_SECOND * LASTS.as_secs() / 4;
+        let max_bytes = LINK_BYTES_PER_SECOND * DURATION.as_secs() / 4;
         let read: u64 = cell.calls.borrow().values().map(|calls| calls.response_bytes).sum();
-        assert!(read > 0 && read <= most, "{read} bytes, {most} at most");
+        assert!(read > 0 && read <= max_bytes, "{read} bytes, {max_bytes} at most");
     });
 }
--- a/lilacpass-node/tests/relay_messages.rs
+++ b/lilacpass-node/tests/relay_messages.rs
@@ -1,4 +1,4 @@
-//! Orders and outcomes on their way between the leader and a relay.
+//! Encoding of orders and outcomes between the leader and a relay.
 
 use lilacpass_core::Verdict;
 use lilacpass_jobs::{EndReason, JobKey, RunEnd, StepName};
@@ -7,7 +7,7 @@
 use lilacpass_schema::v1;
 use prost::Message;
 
-fn answer() -> PollResponse {
+fn poll_response() -> PollResponse {
     let step = StepName { job: JobKey(u64::MAX), occurrence: 3, step: 1 };
     let running = ReportedRun {
         task: step.task(7),
@@ -25,15 +25,15 @@
     }
 }
 
-fn travel(message: v1::RelayedOutcome) -> v1::RelayedOutcome {
+fn round_trip(message: v1::RelayedOutcome) -> v1::RelayedOutcome {
     v1::RelayedOutcome::decode(message.encode_to_vec().as_slice()).expect("an outcome")
 }
 
 #[test]
-fn outcomes_arrive_as_they_were() {
-    let looked = travel(relay_messages::poll_outcome(4, Ok(answer())));
-    assert_eq!(looked.number, 4);
-    assert_eq!(relay_messages::read_outcome(looked), Ok(Some(answer())));
+fn outcomes_survive_encoding() {
+    let polled = round_trip(relay_messages::poll_outcome(4, Ok(poll_response())));
+    assert_eq!(polled.number, 4);
+    assert_eq!(relay_messages::read_outcome(polled), Ok(Some(poll_response())));
     let refusals = [
         Refusal::Fence,
         Refusal::Old,
@@ -49,28 +49,28 @@
         CallError::Failed(Verdict::MayHaveRun),
     ]);
     for error in errors {
-        let sent = travel(relay_messages::order_outcome(1, Err(error.clone())));
+        let sent = round_trip(relay_messages::order_outcome(1, Err(error.clone())));
         assert_eq!(relay_messages::read_outcome(sent), Err(error));
     }
-    let done = travel(relay_messages::order_outcome(1, Ok(())));
+    let done = round_trip(relay_messages::order_outcome(1, Ok(())));
     assert_eq!(relay_messages::read_outcome(done), Ok(None));
 }
 
-/// A task runs twice: a damaged answer left a run out, and the leader took it for gone.
+/// Guards against running a task twice: a damaged response lacked a run, and the leader took it for gone.
 #[test]
-fn an_answer_with_a_row_that_names_no_run_is_none() {
-    let mut sent = relay_messages::poll_outcome(4, Ok(answer()));
-    sent.answer.as_mut().expect("an answer").running[0].run = None;
+fn a_poll_response_with_a_row_without_a_run_is_rejected() {
+    let mut sent = relay_messages::poll_outcome(4, Ok(poll_response()));
+    sent.answer.as_mut().expect("a response").running[0].run = None;
     let unanswered = Err(CallError::Failed(Verdict::MayHaveRun));
     assert_eq!(relay_messages::read_outcome(sent), unanswered);
-    let mut sent = relay_messages::poll_outcome(4, Ok(answer()));
-    sent.answer.as_mut().expect("an answer").ends[0].how = "finished".to_owned();
+    let mut sent = relay_messages::poll_outcome(4, Ok(poll_response()));
+    sent.answer.as_mut().expect("a response").ends[0].how = "finished".to_owned();
     assert_eq!(relay_messages::read_outcome(sent), unanswered);
 }
 
-/// A version that knows more outcomes says one that this one does not know: the order may have been carried out.
+/// A newer version may report an outcome that this one does not know: the order may have been executed.
 #[test]
-fn an_outcome_that_is_not_known_proves_nothing() {
+fn an_unknown_outcome_is_uncertain() {
     let sent = v1::RelayedOutcome { number: 1, outcome: 99, answer: None };
     assert_eq!(relay_messages::read_outcome(sent), Err(CallError::Failed(Verdict::MayHaveRun)));
 }
