--- a/lilacpass-lead/src/leader.rs
+++ b/lilacpass-lead/src/leader.rs
@@ -175,7 +175,8 @@
 impl Leader {
     /// Creates a leader that has just taken over, with all stored jobs.
     pub fn new(options: Options, jobs: Vec<Job>, now: Now) -> Self {
-        let longest_lease_ms = options::max_lease_ms(options.lease_ms, options.unconfirmed_lease_ms);
+        let longest_lease_ms =
+            options::max_lease_ms(options.lease_ms, options.unconfirmed_lease_ms);
         let inherited_leases_expire_by_ms =
             now.steady_ms + options.unconfirmed_lease_ms + longest_lease_ms;
         let mut leader = Self {
