--- a/lilacpass-node/src/append.rs
+++ b/lilacpass-node/src/append.rs
@@ -38,7 +38,7 @@
 const SLOW_APPEND: Duration = Duration::from_millis(100);
 /// First pause before a refused append is sent again. It doubles up to [`MAX_BACKOFF`].
 const INITIAL_BACKOFF: Duration = Duration::from_millis(10);
-/// Maximum pause. All instances together may make a few hundred calls a second.
+/// Maximum pause. The store permits all instances together a few hundred calls a second.
 const MAX_BACKOFF: Duration = Duration::from_millis(300);
 
 /// Why an append was not stored.
@@ -159,8 +159,8 @@
     backoff.mul_f64(rand::rng().random_range(0.5..1.5))
 }
 
-/// Stores one call of a batch. Only the first call may fail as not stored: after it, part of the batch is in the log,
-/// and its jobs must not be refused as not run.
+/// Stores one call of a batch. Only the first call may return [`AppendError::NotStored`]; later ones are repeated
+/// instead. After the first call, part of the batch is in the log, and its jobs must not be refused as not run.
 pub async fn store_batch_call(
     node: &Rc<Node>,
     partition: &Partition,
@@ -212,6 +212,6 @@
 fn push_call(calls: &mut Vec<Bytes>, records: &[Record]) {
     match store::encode_records(records) {
         Ok(bytes) => calls.push(bytes),
-        Err(err) => log::error!(error:% = err; "records cannot be encoded"),
+        Err(err) => log::error!(error:% = err; "dropping records that cannot be encoded"),
     }
 }
--- a/lilacpass-node/src/bin/lilacpass-cell.rs
+++ b/lilacpass-node/src/bin/lilacpass-cell.rs
@@ -110,8 +110,8 @@
         if response.status != StatusCode::MISDIRECTED_REQUEST {
             return show(&response);
         }
-        let named: Value = serde_json::from_slice(&response.body).unwrap_or_default();
-        match named["leader"].as_str() {
+        let body: Value = serde_json::from_slice(&response.body).unwrap_or_default();
+        match body["leader"].as_str() {
             Some(leader) => show(&get(&client, leader, path).await?),
             None => Err(Error::Refused("the instance knows no leader".to_owned())),
         }
--- a/lilacpass-node/src/desired_relay.rs
+++ b/lilacpass-node/src/desired_relay.rs
@@ -43,6 +43,7 @@
 /// Limits the bandwidth of responses to a share of the link.
 #[derive(Debug, Default)]
 pub struct Pacing {
+    /// Time from which the share of the link is free again, on the steady clock.
     free_at_ms: Cell<u64>,
 }
 
@@ -61,8 +62,8 @@
 }
 
 /// Responds to a peer that requests the desired state.
-pub fn serve(node: &Node, question: &v1::PeerConfig) -> v1::PeerConfigReply {
-    let newer = node.published().filter(|p| p.desired.version > question.known_version);
+pub fn serve(node: &Node, request: &v1::PeerConfig) -> v1::PeerConfigReply {
+    let newer = node.published().filter(|p| p.desired.version > request.known_version);
     let Some(published) = newer else { return v1::PeerConfigReply::default() };
     let now_ms = clock::now().steady_ms;
     let bytes = size::Bytes(published.bytes.len() as u64);
@@ -140,6 +141,6 @@
     let own_address = node.peer_address();
     let known = node.known_members.borrow();
     let others = known.addresses.iter().filter(|address| **address != own_address);
-    let any = others.choose(&mut rand::rng()).cloned();
-    any.filter(|_| rand::rng().random()).unwrap_or_else(|| source.address.clone())
+    let random_peer = others.choose(&mut rand::rng()).cloned();
+    random_peer.filter(|_| rand::rng().random()).unwrap_or_else(|| source.address.clone())
 }
--- a/lilacpass-node/src/desired_watch.rs
+++ b/lilacpass-node/src/desired_watch.rs
@@ -12,13 +12,13 @@
 
 use crate::{clock, metrics, node::Node};
 
-/// How long a read waits for a change. Together with [`RESPONSE_TIMEOUT`] it bounds how long a connection that has gone
-/// silent can hide one. The platform allows 2 s for a change to take effect.
+/// How long a read waits for a change. Together with [`RESPONSE_TIMEOUT`] it bounds how long a change goes unnoticed on
+/// a dead connection. The platform allows 2 s for a change to take effect.
 const POLL_WAIT: Duration = Duration::from_millis(1_000);
-/// Timeout for the beginning of a response beyond the wait, and for each pause within it. The store's slowest responses
-/// take 0.6 s.
+/// Timeout for the beginning of a response, in addition to the wait, and for each pause within it. The store's slowest
+/// responses take 0.6 s.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Number of unread records from which the newest record of each key is read instead.
+/// With at least this many unread records, the newest record of each key is read instead of all of them.
 const SKIP_TO_NEWEST_LAG: u64 = 2;
 /// Pause after a failed read.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
--- a/lilacpass-node/src/election.rs
+++ b/lilacpass-node/src/election.rs
@@ -32,8 +32,8 @@
 /// As [`UNRESPONSIVE_RENEWAL_WAIT`], but for a leader whose address refuses connections: its process is most likely
 /// gone.
 const REFUSED_RENEWAL_WAIT: Duration = Duration::from_millis(260);
-/// How many times the store latency, measured on the lookup of the leader, is added to the wait for a renewal. A
-/// renewal takes one such latency, and the next one starts only after it.
+/// The wait for a renewal is extended by this many times the latency of the store, as measured when the leader record
+/// was read. A renewal takes one such latency, and the next one starts only after it.
 const STORE_LATENCY_FACTOR: u32 = 2;
 /// How long to wait for another instance that has announced a take-over.
 const CLAIM_WAIT: Duration = Duration::from_millis(1_300);
@@ -54,8 +54,8 @@
 /// Timeout for storing the announcement of a take-over, which takes a slow store 0.8 s. With a shorter timeout,
 /// announcements were stored after they had been given up, and every instance waited for a take-over that never came.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Store timeout of an instance that is asked to take over from a leader that stays. A store that is slow for every
-/// instance is no reason to change the leader.
+/// Store timeout of an instance that is asked to take over from a leader that is not about to stop. A store that is
+/// slow for every instance is no reason to change the leader.
 const PROMOTE_STORE_TIMEOUT: Duration = Duration::from_millis(150);
 /// Number of randomly chosen peers that are asked for the leader before the store is tried again. Each unresponsive
 /// peer costs [`HEARTBEAT_TIMEOUT`]; forty of them would take ten seconds.
@@ -73,13 +73,13 @@
     OtherLeader,
     /// It does not lead and knows no newer leader.
     NotLeading,
-    /// It was certainly not reached, as where its address refuses connections.
+    /// It was certainly not reached, for example because its address refuses connections.
     ConnectionRefused,
     /// The heartbeat failed in any other way.
     Unresponsive,
 }
 
-/// Follows the leader, or takes over where it has failed, for as long as the process runs.
+/// Follows the leader, or takes over when it has failed, for as long as the process runs.
 pub async fn run(node: Rc<Node>) {
     let mut store_failures = 0;
     loop {
@@ -115,7 +115,7 @@
 
 /// Tries to take over from a leader that cannot reach the store, and sends it heartbeats meanwhile.
 ///
-/// Where the store is unavailable to all instances, the attempt lasts a second or two. Without heartbeats, clients that
+/// If the store is unavailable to all instances, the attempt lasts a second or two. Without heartbeats, clients that
 /// query the state of their jobs during that time are told that there is no leader, although the leader is alive and
 /// knows the state.
 async fn campaign_with_heartbeats(node: &Rc<Node>, address: &str, epoch: u64) {
@@ -232,8 +232,8 @@
     if node.settings.cpu_millis < max_cpu_millis { SMALL_INSTANCE_DELAY } else { Duration::ZERO }
 }
 
-/// Takes over at the request of the former leader. A leader that stays is replaced only if the store responds to this
-/// instance quickly ([`PROMOTE_STORE_TIMEOUT`]); one that is leaving, if it responds at all.
+/// Takes over at the request of the former leader. A leader that is about to stop is replaced if the store responds to
+/// this instance within [`STORE_TIMEOUT`], any other only if it responds within [`PROMOTE_STORE_TIMEOUT`].
 pub async fn take_over_on_request(node: &Rc<Node>, former_is_leaving: bool) {
     if node.leads() || node.is_leaving() {
         return;
@@ -249,7 +249,7 @@
     };
     log::info!("take-over requested");
     // Other instances see the former leader resign before the new one is known. The announcement keeps them from taking
-    // over from the new leader at once. It fails if a renewal comes in between, which is harmless.
+    // over from the new leader at once. It fails if the former leader has written a renewal since, which is harmless.
     let node = node.clone();
     // A separate task completes even if the connection to the former leader is closed.
     let taking_over = tokio::task::spawn_local(async move {
@@ -317,7 +317,7 @@
         Ok(Ok(ReadOutcome::Records { records, .. })) => records,
         Ok(Ok(ReadOutcome::Gone)) | Err(_) => Vec::new(),
         Ok(Err(err)) => {
-            log::info!(error:% = err; "reading the records of the leader failed");
+            log::info!(error:% = err; "reading new leader records failed");
             Vec::new()
         }
     };
@@ -349,7 +349,7 @@
     by_other && offset(CLAIM_KEY) > offset(takeover::LEAD_KEY)
 }
 
-/// Asks other instances who leads, for use while the store does not respond.
+/// Asks other instances who leads while the store does not respond.
 async fn ask_peers_for_leader(node: &Rc<Node>) {
     let own_address = node.peer_address();
     let peers = {
--- a/lilacpass-node/src/frontend.rs
+++ b/lilacpass-node/src/frontend.rs
@@ -28,14 +28,14 @@
 /// Pause before a request is forwarded again.
 const RETRY_PAUSE: Duration = Duration::from_millis(40);
 /// Requests are not forwarded to a leader that has not responded to a heartbeat for this long, in milliseconds. It
-/// might accept them and its response be lost, and the clients could then not be told that their requests were not
-/// executed. The limit is one heartbeat interval plus the heartbeat timeout, rounded up.
-const MAX_FORWARD_SILENCE_MS: u64 = 500;
+/// might execute them without its response arriving, and their outcome would be uncertain. A request that is not
+/// forwarded is refused as not executed. The limit is one heartbeat interval plus the heartbeat timeout, rounded up.
+const MAX_FORWARD_UNRESPONSIVE_MS: u64 = 500;
 /// Retry-After, in seconds, before the first desired state is known.
 const NO_DESIRED_STATE_RETRY_S: u64 = 1;
 /// An instance is not ready if its leader has not responded for this long, in milliseconds. The platform redirects
 /// clients only after the instance has been unready for a second or two, by when a lost leader has long been replaced.
-const MAX_READY_SILENCE_MS: u64 = 400;
+const MAX_READY_UNRESPONSIVE_MS: u64 = 400;
 
 /// Answers the platform's readiness check.
 pub async fn ready(node: Rc<Node>, received: ReceivedRequest) -> Reply {
@@ -45,7 +45,7 @@
     let is_ready = node.published().is_some() && has_leader(&node) && !node.is_leaving();
     if node.reported_ready.replace(is_ready) != is_ready {
         log::info!(
-            is_ready, leads = node.leads(), leader_silent_ms = leader_silent_ms(&node),
+            is_ready, leads = node.leads(), leader_silent_ms = leader_unresponsive_ms(&node),
             leader_store_reachable = node.leader_store_reachable.get(),
             leaving = node.is_leaving();
             "readiness changed"
@@ -58,9 +58,10 @@
 /// that is cut off are better served by another one. They are redirected there once no instance of this one is ready.
 fn has_leader(node: &Node) -> bool {
     if node.leads() {
-        node.store_failing_ms() < MAX_READY_SILENCE_MS
+        node.store_failing_ms() < MAX_READY_UNRESPONSIVE_MS
     } else {
-        leader_silent_ms(node) < MAX_READY_SILENCE_MS && node.leader_store_reachable.get()
+        leader_unresponsive_ms(node) < MAX_READY_UNRESPONSIVE_MS
+            && node.leader_store_reachable.get()
     }
 }
 
@@ -80,9 +81,9 @@
     Reply { close: reply.close || is_refused || node.is_leaving(), ..reply }
 }
 
-/// Counts a client request, or a relayed order, as open until it is dropped. When a client disconnects, the future that
-/// serves its request is dropped. Without this guard the count would stay too high, and a planned stop would wait for
-/// it in vain.
+/// Guard that counts a client request or a relayed order as open until the guard is dropped. When a client disconnects,
+/// the future that serves its request is dropped. Without the guard the count would stay too high, and a planned stop
+/// would wait in vain for it to reach 0.
 pub struct OpenRequest<'a>(&'a Node);
 
 impl<'a> OpenRequest<'a> {
@@ -158,7 +159,9 @@
                     Some(response) => Forwarded::Completed(response),
                     None => Forwarded::Failed(Verdict::MayHaveRun),
                 },
-                (None, Some(address)) if leader_silent_ms(node) < MAX_FORWARD_SILENCE_MS => {
+                (None, Some(address))
+                    if leader_unresponsive_ms(node) < MAX_FORWARD_UNRESPONSIVE_MS =>
+                {
                     peers::forward(node, &address, &request, end - now).await
                 }
                 (None, _) => Forwarded::NotLeading,
@@ -182,12 +185,12 @@
     if may_have_run {
         return Response::Uncertain;
     }
-    let retry_after_ms = retry_after_ms(leader_silent_ms(node));
+    let retry_after_ms = retry_after_ms(leader_unresponsive_ms(node));
     Response::Refused { reason: "no leader is known", retry_after_ms }
 }
 
 /// Time since the last response of the leader, in milliseconds.
-fn leader_silent_ms(node: &Node) -> u64 {
+fn leader_unresponsive_ms(node: &Node) -> u64 {
     clock::now().steady_ms.saturating_sub(node.last_leader_response_ms.get())
 }
 
--- a/lilacpass-node/src/handover.rs
+++ b/lilacpass-node/src/handover.rs
@@ -56,8 +56,8 @@
     }
 }
 
-/// Hands over before a planned stop: asks one peer after the other until one has taken over. The leader goes on leading
-/// meanwhile, even where the store is too slow for a hand-over.
+/// Hands over before a planned stop: asks one peer after the other until one has taken over. The leader continues to
+/// lead meanwhile, even if the store is too slow for a hand-over.
 pub async fn resign(node: Rc<Node>, epoch: u64, messages: mpsc::UnboundedSender<Message>) {
     let mut handover = Handover::new(node, epoch, messages);
     while !handover.messages.is_closed() && !handover.ask_any().await {
--- a/lilacpass-node/src/intake.rs
+++ b/lilacpass-node/src/intake.rs
@@ -1,8 +1,8 @@
 //! Order in which the leader processes messages that arrived while it was busy.
 //!
 //! Thousands of clients may send requests at the same time, mixed with ended runs, responses of workers and
-//! confirmations of the store. Processed in order of arrival, the leases of workers would wait for the requests of
-//! clients.
+//! confirmations of the store. If all were processed in order of arrival, worker leases would be extended only after
+//! the requests of clients.
 
 use std::collections::VecDeque;
 
--- a/lilacpass-node/src/leader_loop.rs
+++ b/lilacpass-node/src/leader_loop.rs
@@ -32,9 +32,9 @@
 /// Interval of the leader's ticks, which bounds how late it notices that a deadline has passed.
 const TICK: Duration = Duration::from_millis(50);
 /// Interval between renewals of the leader record. Followers that cannot reach a leader wait at least about 0.3 s for
-/// one.
+/// a renewal.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(200);
-/// Interval between updates of the lanes, in milliseconds.
+/// Interval between updates of the lanes (instances that can make advice calls) and of the relays, in milliseconds.
 const LANES_INTERVAL_MS: u64 = 200;
 /// Added to the expected duration of an advice call to obtain its timeout.
 const ADVICE_SLACK: Duration = Duration::from_millis(900);
@@ -178,19 +178,19 @@
         let now = clock::now();
         match message {
             Message::Event(event) => self.leader.handle(event, now),
-            Message::Request(request, client) => {
+            Message::Request(request, responder) => {
                 let request_id = RequestId(self.next_request_id);
                 self.next_request_id += 1;
-                self.responders.insert(request_id, client);
+                self.responders.insert(request_id, responder);
                 self.leader.handle(Event::Request { request_id, request }, now);
             }
             Message::NotAppended { next_sequence } => {
                 self.next_sequence = next_sequence;
                 self.leader.handle(Event::NotAppended, now);
             }
-            Message::Inspect(query, operator) => {
+            Message::Inspect(query, responder) => {
                 // The operator may have disconnected.
-                let _disconnected = operator.send(self.inspect(query));
+                let _disconnected = responder.send(self.inspect(query));
             }
             Message::Deposed => self.is_deposed = true,
             Message::Resign => {
@@ -281,9 +281,9 @@
     fn execute_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Reply { request_id, response } => {
-                if let Some(client) = self.responders.remove(&request_id) {
+                if let Some(responder) = self.responders.remove(&request_id) {
                     // The client may have disconnected.
-                    let _disconnected = client.send(response);
+                    let _disconnected = responder.send(response);
                 }
             }
             Effect::Append(records) => self.append(records),
--- a/lilacpass-node/src/logging.rs
+++ b/lilacpass-node/src/logging.rs
@@ -27,11 +27,15 @@
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 static QUEUE: OnceLock<SyncSender<Line>> = OnceLock::new();
 
+/// An entry of the buffer.
 enum Line {
+    /// A line to write.
     Text(Vec<u8>),
+    /// A request to write all earlier lines at once, and to confirm that on the channel.
     Flush(SyncSender<()>),
 }
 
+/// Writer that puts each line into the buffer.
 struct QueueWriter;
 
 impl Write for QueueWriter {
--- a/lilacpass-node/src/members.rs
+++ b/lilacpass-node/src/members.rs
@@ -86,7 +86,8 @@
     }
 }
 
-/// The instances that the leader has listed, for use when it is gone.
+/// The instances that the leader has listed. They are asked for the new leader when neither the leader nor the store
+/// responds.
 #[derive(Debug, Default)]
 pub struct KnownMembers {
     /// Their addresses.
--- a/lilacpass-node/src/metrics.rs
+++ b/lilacpass-node/src/metrics.rs
@@ -19,9 +19,9 @@
 
 use crate::logging;
 
-/// Port of the metrics, as given in `deploy/system.toml`.
+/// Port of the metrics, as configured in `deploy/system.toml`.
 pub const PORT: u16 = 9_464;
-/// Path of the metrics, as given in `deploy/system.toml`.
+/// Path of the metrics, as configured in `deploy/system.toml`.
 pub const PATH: &str = "/metrics";
 /// Bucket bounds of time histograms, in seconds: from a response within one instance up to a client's timeout.
 const TIME_BOUNDS_S: [f64; 12] =
@@ -142,10 +142,10 @@
         self.desired_version.record(version, &[]);
     }
 
-    /// Records a read of the registered workers: of all, or of changes.
-    pub fn workers_read(&self, what: &'static str, outcome: &'static str) {
-        let what = KeyValue::new("what", what);
-        self.workers_reads.add(1, &[what, KeyValue::new("outcome", outcome)]);
+    /// Records a read of the registered workers. `scope` is `all` for a full read, or `changes`.
+    pub fn workers_read(&self, scope: &'static str, outcome: &'static str) {
+        let scope = KeyValue::new("what", scope);
+        self.workers_reads.add(1, &[scope, KeyValue::new("outcome", outcome)]);
     }
 
     /// Records that this instance took over.
@@ -154,7 +154,7 @@
         self.leads.record(1, &[]);
     }
 
-    /// Records how far behind this instance is as the leader, and how it responds to that.
+    /// Records how far behind this instance is as the leader, and its pressure level.
     pub fn pressure(&self, level: Level, behind: Duration) {
         let level = match level {
             Level::KeepsUp => 0,
@@ -168,12 +168,12 @@
     /// Adds the counts of events in the cell since the last call.
     pub fn record_counters(&self, counters: &Counters) {
         for loss in WorkerLoss::ALL {
-            let how = KeyValue::new("how", loss.as_str());
-            self.workers_lost.add(counters.workers_lost(loss), &[how]);
+            let loss_label = KeyValue::new("how", loss.as_str());
+            self.workers_lost.add(counters.workers_lost(loss), &[loss_label]);
         }
         for cause in Cause::ALL {
-            let kind = KeyValue::new("cause", cause.as_str());
-            self.jobs_failed.add(counters.jobs_failed(cause), &[kind]);
+            let cause_label = KeyValue::new("cause", cause.as_str());
+            self.jobs_failed.add(counters.jobs_failed(cause), &[cause_label]);
         }
     }
 
--- a/lilacpass-node/src/node.rs
+++ b/lilacpass-node/src/node.rs
@@ -78,7 +78,7 @@
     pub last_leader_response_ms: Cell<u64>,
     /// Whether the last heartbeat to the leader failed.
     pub leader_unresponsive: Cell<bool>,
-    /// Neither the leader nor the store responds, so that this instance would not learn of a new leader soon.
+    /// Whether neither the leader nor the store responds, so that this instance would not learn of a new leader soon.
     pub cut_off: Cell<bool>,
     /// Readiness that was last reported to the platform.
     pub reported_ready: Cell<bool>,
@@ -112,7 +112,7 @@
     pub metrics: Metrics,
 }
 
-/// How long after its last response the leader considers the store reachable, in milliseconds. The watch for the
+/// How long the leader considers the store reachable after a response of the store, in milliseconds. The watch for the
 /// desired state receives a response at least every two seconds, and renewals several a second.
 const STORE_REACHABLE_MS: u64 = 900;
 
@@ -244,8 +244,8 @@
 
     /// The source of a version that is newer than this instance's own and not known to be unreadable.
     pub fn newer_desired_source(&self) -> Option<DesiredSource> {
-        let tried_version = self.desired_version().max(self.unreadable_desired_version.get());
-        self.desired_source.borrow().clone().filter(|known| known.version > tried_version)
+        let obtained_version = self.desired_version().max(self.unreadable_desired_version.get());
+        self.desired_source.borrow().clone().filter(|known| known.version > obtained_version)
     }
 
     /// Whether this instance leads.
@@ -290,8 +290,8 @@
         if let Some(since_ms) = self.store_failing_since_ms.get() {
             return now_ms.saturating_sub(since_ms);
         }
-        let silent_ms = now_ms.saturating_sub(self.last_store_response_ms.get());
-        if silent_ms > STORE_REACHABLE_MS { silent_ms } else { 0 }
+        let unresponsive_ms = now_ms.saturating_sub(self.last_store_response_ms.get());
+        if unresponsive_ms > STORE_REACHABLE_MS { unresponsive_ms } else { 0 }
     }
 
     /// Whether the store has responded recently.
--- a/lilacpass-node/src/orders.rs
+++ b/lilacpass-node/src/orders.rs
@@ -1,8 +1,11 @@
 //! Orders to workers, which are sent again if the response is late.
 //!
-//! An order that is lost, or executed seconds late, delays its task by more than half a second until the run is
-//! abandoned, marked as never started, and assigned to another worker. Both copies name the same run. The worker
-//! executes the first one to arrive, and answers that the other has been done already.
+//! If an order is lost or executed seconds late, its task waits for more than half a second until the run is abandoned
+//! and marked as never started, and the task is assigned to another worker. Both copies of an order name the same run.
+//! The worker executes the copy that arrives first, and responds to the other that it is already done.
+//!
+//! The futures of direct calls are boxed. They are large, and every order's future would otherwise reserve space for
+//! two or three of them, most of it unused.
 
 use std::{pin::pin, rc::Rc, time::Duration};
 
@@ -21,9 +24,6 @@
 };
 
 /// Address of the relay that forwards an order; `None` if the leader sends it directly.
-///
-/// The futures of direct calls are boxed. They are large, and every order's future would otherwise reserve space for
-/// two or three of them, most of it unused.
 pub type Route = Option<Rc<str>>;
 
 /// Time without a response after which an order is sent again. Healthy workers respond within 5 ms, and a busy leader
@@ -33,7 +33,7 @@
 /// Polls a worker.
 ///
 /// If the relay does not report an outcome, the worker is polled directly and without a wait, because the relay has
-/// failed rather than the worker. A poll that fails by the relay's own report has failed.
+/// failed rather than the worker. If the relay reports that the worker did not respond, the poll has failed.
 pub async fn poll(
     node: &Rc<Node>,
     route: Route,
--- a/lilacpass-node/src/peers.rs
+++ b/lilacpass-node/src/peers.rs
@@ -35,7 +35,7 @@
 /// Added to the timeout of an advice call for the round trip to the peer.
 const HOP_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Maximum body of a message from a peer: room for 500 starts with the longest job payload.
+/// Maximum size of the body of a message from a peer: enough for 500 starts with the longest job payload.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// Limits on what peers may send.
@@ -54,7 +54,7 @@
             Err(err) => Err(err),
         },
         ADVISE_PATH => match decode::<v1::PeerAdvise>(&received.body) {
-            Ok(question) => Ok(handle_advise(&node, question).await.encode_to_vec()),
+            Ok(request) => Ok(handle_advise(&node, request).await.encode_to_vec()),
             Err(err) => Err(err),
         },
         PROMOTE_PATH => match decode::<v1::PeerHello>(&received.body) {
@@ -65,7 +65,7 @@
             Err(err) => Err(err),
         },
         CONFIG_PATH => decode(&received.body)
-            .map(|question| desired_relay::serve(&node, &question).encode_to_vec()),
+            .map(|request| desired_relay::serve(&node, &request).encode_to_vec()),
         ORDERS_PATH => match decode(&received.body) {
             Ok(orders) => return acceptance_reply(relay_server::accept(&node, orders)),
             Err(err) => Err(err),
@@ -187,8 +187,8 @@
     known_version: u64,
     timeout: Duration,
 ) -> Result<v1::PeerConfigReply> {
-    let question = v1::PeerConfig { known_version };
-    let call = build_call(address, CONFIG_PATH, &question, timeout);
+    let request = v1::PeerConfig { known_version };
+    let call = build_call(address, CONFIG_PATH, &request, timeout);
     read_response(&node.client.fetch(&call, timeout).await?)
 }
 
@@ -410,7 +410,9 @@
     let timeout = timeout + HOP_TIMEOUT;
     let reply: v1::PeerAdviseReply = post(node, address, ADVISE_PATH, &message, timeout)
         .await
-        .inspect_err(|err| log::debug!(step:% = step, error:% = err; "no advice through peer"))
+        .inspect_err(
+            |err| log::debug!(step:% = step, error:% = err; "advice call through a peer failed"),
+        )
         .ok()?;
     if !reply.answered {
         return None;
@@ -435,19 +437,19 @@
     let address = node.settings.advice_address.as_deref()?;
     let result = advice::request(&node.client, address, step, workers, timeout).await;
     node.metrics.advice(metrics::outcome(&result));
-    result.inspect_err(|err| log::info!(step:% = step, error:% = err; "no advice")).ok()
+    result.inspect_err(|err| log::info!(step:% = step, error:% = err; "advice call failed")).ok()
 }
 
 /// Calls the advice service on behalf of the leader.
-async fn handle_advise(node: &Node, question: v1::PeerAdvise) -> v1::PeerAdviseReply {
+async fn handle_advise(node: &Node, request: v1::PeerAdvise) -> v1::PeerAdviseReply {
     let no_advice = v1::PeerAdviseReply::default();
-    let Some(step) = parse_step(&question.step) else { return no_advice };
+    let Some(step) = parse_step(&request.step) else { return no_advice };
     let workers: Vec<WorkerName> =
-        question.workers.iter().map(|name| WorkerName::from(name.as_str())).collect();
-    let timeout = Duration::from_millis(u64::from(question.timeout_ms));
+        request.workers.iter().map(|name| WorkerName::from(name.as_str())).collect();
+    let timeout = Duration::from_millis(u64::from(request.timeout_ms));
     let started = time::Instant::now();
     let Some(advice) = advise(node, step, &workers, timeout).await else { return no_advice };
-    log::debug!(step:% = step, took_ms = started.elapsed().as_millis() as u64; "advice");
+    log::debug!(step:% = step, took_ms = started.elapsed().as_millis() as u64; "advice call completed");
     let row = |row: WorkerTicket| v1::AdviceTicket {
         worker: row.worker.as_str().to_owned(),
         ticket: row.ticket,
--- a/lilacpass-node/src/registry_watch.rs
+++ b/lilacpass-node/src/registry_watch.rs
@@ -44,8 +44,8 @@
             Some(from) => read_changes(&node, from).await,
             None => read_all(&node).await,
         };
-        let what = if from.is_some() { "changes" } else { "all" };
-        node.metrics.workers_read(what, metrics::outcome(&result));
+        let scope = if from.is_some() { "changes" } else { "all" };
+        node.metrics.workers_read(scope, metrics::outcome(&result));
         let mut events = match result {
             Ok(RegistryRead::All(records, position)) => {
                 next = Some(position);
@@ -61,7 +61,7 @@
                 continue;
             }
             Err(err) => {
-                log::info!(what, error:% = err; "reading the registered workers failed");
+                log::info!(what = scope, error:% = err; "reading the registered workers failed");
                 time::sleep(CHANGES_INTERVAL).await;
                 continue;
             }
--- a/lilacpass-node/src/relay_choice.rs
+++ b/lilacpass-node/src/relay_choice.rs
@@ -3,16 +3,16 @@
 //! In a cell of hundreds of workers thousands of polls and starts are sent each second, and some leaders have thin
 //! links. Each order is a call of its own, and each start carries the payload of its job. The leader's CPU or link is
 //! therefore saturated by orders long before it is saturated by scheduling. When a few other instances send the orders,
-//! many of them share one message. Each message adds a few hundredths of a second, so a leader with CPU and bandwidth
-//! to spare sends its orders itself.
+//! many orders share one message to a relay. Relaying delays an order by a few hundredths of a second, so a leader with
+//! CPU and bandwidth to spare sends its orders itself.
 
 use std::{cmp::Reverse, collections::BTreeMap};
 
 /// CPU time of an order for whichever instance sends it, in microseconds.
 const ORDER_CPU_US: f64 = 60.0;
-/// Utilisation of the leader's CPU or link by orders from which they are relayed.
+/// Orders are relayed once sending them would use this share of the leader's CPU or link.
 const RELAY_START_UTILISATION: f64 = 0.2;
-/// Utilisation below which the leader sends orders itself again.
+/// The leader sends orders itself again once that share falls below this.
 const RELAY_STOP_UTILISATION: f64 = 0.1;
 /// Share of its CPU limit that an instance may spend on relaying.
 const RELAY_CPU_SHARE: f64 = 0.2;
--- a/lilacpass-node/src/relay_client.rs
+++ b/lilacpass-node/src/relay_client.rs
@@ -65,10 +65,10 @@
     for order in orders {
         let mut relayed = order.message;
         if let Some(start) = &mut relayed.start {
-            let next = message.payloads.len() as u32;
+            let next_index = message.payloads.len() as u32;
             start.payload = *payload_indices.entry(order.payload).or_insert_with_key(|payload| {
                 message.payloads.push(payload.clone());
-                next
+                next_index
             });
         }
         message.orders.push(relayed);
--- a/lilacpass-node/src/relay_messages.rs
+++ b/lilacpass-node/src/relay_messages.rs
@@ -17,13 +17,13 @@
 
 /// Encodes a poll of a worker.
 pub fn poll(worker: &str, address: &str, poll: PollOrder) -> Order {
-    let look = v1::RelayedLook {
+    let relayed_poll = v1::RelayedLook {
         lease_until_ms: poll.lease_until_ms,
         forget_upto: poll.forget_up_to,
         wait_ms: poll.wait_ms as u32,
         answer_ms: poll.response_timeout_ms as u32,
     };
-    let message = v1::RelayedOrder { look: Some(look), ..addressed_to(worker, address) };
+    let message = v1::RelayedOrder { look: Some(relayed_poll), ..addressed_to(worker, address) };
     Order { message, payload: String::new() }
 }
 
@@ -66,12 +66,12 @@
 }
 
 /// Decodes a poll.
-pub fn read_poll(look: &v1::RelayedLook) -> PollOrder {
+pub fn read_poll(message: &v1::RelayedLook) -> PollOrder {
     PollOrder {
-        lease_until_ms: look.lease_until_ms,
-        forget_up_to: look.forget_upto,
-        wait_ms: u64::from(look.wait_ms),
-        response_timeout_ms: u64::from(look.answer_ms),
+        lease_until_ms: message.lease_until_ms,
+        forget_up_to: message.forget_upto,
+        wait_ms: u64::from(message.wait_ms),
+        response_timeout_ms: u64::from(message.answer_ms),
     }
 }
 
--- a/lilacpass-node/src/relay_server.rs
+++ b/lilacpass-node/src/relay_server.rs
@@ -15,8 +15,8 @@
 
 /// How long outcomes are collected, so that many of them share a message.
 const BATCH_INTERVAL: Duration = Duration::from_millis(15);
-/// Timeout for the leader's confirmation of outcomes. They are not sent again, since the leader polls the worker
-/// itself.
+/// Timeout for the leader's confirmation of outcomes. They are not sent again: the leader polls a worker directly if
+/// the outcome does not arrive.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Destination of outcomes: the leader's address and its epoch.
@@ -62,8 +62,8 @@
     let worker = WorkerName::from(order.worker.as_str());
     let target = Target { name: &worker, address: &order.address, epoch };
     let number = order.number;
-    if let Some(look) = &order.look {
-        let result = node.workers.poll(target, relay_messages::read_poll(look)).await;
+    if let Some(poll) = &order.look {
+        let result = node.workers.poll(target, relay_messages::read_poll(poll)).await;
         return Some(relay_messages::poll_outcome(number, result));
     }
     if let Some(start) = &order.start {
@@ -91,7 +91,7 @@
 }
 
 fn reject_incomplete(number: u64) -> Option<v1::RelayedOutcome> {
-    log::warn!(number; "ignoring an incomplete order");
+    log::warn!(number; "ignoring an incomplete relayed order");
     None
 }
 
--- a/lilacpass-node/src/relays.rs
+++ b/lilacpass-node/src/relays.rs
@@ -1,9 +1,9 @@
 //! The leader's view of the instances that relay its orders: the assignment of workers to relays, and the orders in
 //! progress.
 //!
-//! Correctness does not depend on relays. A relayed order is an order with a longer way: it carries the leader's epoch,
-//! its lease ends at a time on the worker's clock, and if it gets no response it counts as possibly executed, as any
-//! other order does.
+//! Correctness does not depend on relays. A relayed order is an order that takes a longer route: it carries the epoch
+//! of the leader, its lease ends at a time on the worker's clock, and if it gets no response it counts as possibly
+//! executed, as any other order does.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -35,8 +35,8 @@
 const HEADER_BYTES: usize = 400;
 /// Weight of the newest sample in the moving average of the load, which covers about half a second.
 const LOAD_WEIGHT: f64 = 0.4;
-/// Number of faulty orders from which a relay is considered cut off itself. An order is faulty if the relay reports no
-/// outcome, or reports a worker as unresponsive that responds to the leader.
+/// Minimum number of faulty orders for a relay to be considered cut off itself. An order is faulty if the relay reports
+/// no outcome, or reports a worker as unresponsive that responds to the leader.
 const MIN_FAULTY_ORDERS: u32 = 4;
 /// A relay is considered cut off only if at least one in this many of its completed orders was faulty.
 const MAX_ORDERS_PER_FAULT: u32 = 4;
--- a/lilacpass-node/src/signals.rs
+++ b/lilacpass-node/src/signals.rs
@@ -33,7 +33,7 @@
                 return;
             }
         };
-    let mut modified = settings::written_at();
+    let mut last_written = settings::written_at();
     let mut settings_checks = time::interval(SETTINGS_INTERVAL);
     settings_checks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
@@ -41,9 +41,9 @@
             _ = terminate.recv() => break,
             _ = hangup.recv() => reload(&node),
             _ = settings_checks.tick() => {
-                let now = settings::written_at();
-                if now != modified {
-                    modified = now;
+                let written = settings::written_at();
+                if written != last_written {
+                    last_written = written;
                     reload(&node);
                 }
             }
@@ -66,8 +66,8 @@
 async fn stop(node: &Node) {
     log::info!(leads = node.leads(); "stop requested");
     node.leaving.send_replace(true);
-    if let Some(lead) = node.leader_handle.borrow().as_ref() {
-        lead.resign();
+    if let Some(leader) = node.leader_handle.borrow().as_ref() {
+        leader.resign();
     }
     let start = Instant::now();
     let grace = Duration::from_millis(node.settings.bounds.grace_ms);
--- a/lilacpass-node/src/takeover.rs
+++ b/lilacpass-node/src/takeover.rs
@@ -18,8 +18,8 @@
 pub const LEAD_KEY: &str = "lead";
 /// Timeout of one store call during a take-over. The store's slowest responses take 0.6 s.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// How long calls of a take-over may keep failing without a response before it is abandoned. Until then this instance
-/// does not notice that another one has taken over.
+/// How long calls of a take-over may keep failing before the take-over is abandoned. Until then this instance does not
+/// notice that another one has taken over.
 const MAX_FAILURE_TIME: Duration = Duration::from_secs(2);
 /// Pause before a failed call is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
@@ -138,7 +138,7 @@
     }
 }
 
-/// Tracks how long store calls have been failing without a response in between.
+/// Tracks how long store calls have been failing without a successful one in between.
 ///
 /// When the time was counted from the start of the take-over instead, a single failure late in a long read discarded
 /// everything read so far. An instance with a thin link, which needs longer than [`MAX_FAILURE_TIME`] to read all jobs,
@@ -161,12 +161,13 @@
     /// Pauses after a failed call. Returns `None` if calls have been failing for longer than [`MAX_FAILURE_TIME`].
     async fn wait_before_retry(
         &mut self,
-        what: &str,
+        call: &str,
         err: &lilacpass_platform::Error,
     ) -> Option<()> {
-        log::info!(what, error:% = err; "store call during a take-over failed");
+        log::info!(what = call, error:% = err; "store call during a take-over failed");
         let now = Instant::now();
-        // A long response that breaks off was arriving until then, so at most one call timeout counts as failing.
+        // A long response may have been arriving until it broke off, so at most one call timeout before the failure
+        // counts as failing.
         let earliest = now.checked_sub(CALL_TIMEOUT).unwrap_or(self.last_response);
         let failing_since = *self.failing_since.get_or_insert(earliest.max(self.last_response));
         if now - failing_since > MAX_FAILURE_TIME {
@@ -182,7 +183,7 @@
 struct JobRecords {
     plans: HashMap<JobKey, (u64, Vec<u8>)>,
     states: HashMap<JobKey, (u64, Vec<u8>)>,
-    /// Whether records after the first page's end are being read.
+    /// Whether records are being read that were written after the read of the first page.
     reading_tail: bool,
     /// Whether another instance has taken over since the read started.
     other_leader_seen: bool,
--- a/lilacpass-node/src/trace.rs
+++ b/lilacpass-node/src/trace.rs
@@ -31,8 +31,8 @@
         let instance = path.file_stem().unwrap_or_default().to_string_lossy().into_owned();
         let bytes = fs::read(&path)?;
         let text = String::from_utf8_lossy(&bytes);
-        let about = text.lines().filter(|line| line.contains(&job.to_string()));
-        lines.extend(about.filter_map(|line| parse(&instance, line)));
+        let matching = text.lines().filter(|line| line.contains(&job.to_string()));
+        lines.extend(matching.filter_map(|line| parse(&instance, line)));
     }
     lines.sort();
     Ok(lines)
--- a/lilacpass-node/tests/cluster/link.rs
+++ b/lilacpass-node/tests/cluster/link.rs
@@ -51,18 +51,18 @@
     async fn accept(self: Rc<Self>, listener: TcpListener, to: SocketAddr) {
         loop {
             let (near, _) = listener.accept().await.expect("a connection");
-            tokio::task::spawn_local(self.clone().carry(near, to));
+            tokio::task::spawn_local(self.clone().forward(near, to));
         }
     }
 
-    async fn carry(self: Rc<Self>, near: TcpStream, to: SocketAddr) {
+    async fn forward(self: Rc<Self>, near: TcpStream, to: SocketAddr) {
         let Ok(far) = TcpStream::connect(to).await else { return };
         let (mut near_read, mut near_write) = near.into_split();
         let (mut far_read, mut far_write) = far.into_split();
         select! {
             _ = copy(&mut near_read, &mut far_write) => {}
             () = self.copy_throttled(&mut far_read, &mut near_write) => {}
-            () = self.until_cut() => {}
+            () = self.wait_until_cut() => {}
         }
     }
 
@@ -80,7 +80,7 @@
         }
     }
 
-    async fn until_cut(&self) {
+    async fn wait_until_cut(&self) {
         while !self.is_cut.get() {
             time::sleep(CUT_POLL_INTERVAL).await;
         }
--- a/lilacpass-node/tests/cut_off.rs
+++ b/lilacpass-node/tests/cut_off.rs
@@ -38,8 +38,8 @@
     String::from_utf8_lossy(&bytes[..read]).to_lowercase()
 }
 
-/// Guards against refusing the clients of a data centre for as long as it is cut off although the others serve: their
-/// connections stayed open, and the load balancer redirects only new ones.
+/// Guards against refusing the clients of a data centre for as long as it is cut off, although other data centres could
+/// serve them: their connections stayed open, and the load balancer redirects only new connections.
 #[test]
 fn a_refused_client_is_disconnected_if_there_is_no_leader() {
     cluster::run(FIRST_PORT, &[1.0, 1.0], async |mut cluster| {
--- a/lilacpass-node/tests/desired_relay.rs
+++ b/lilacpass-node/tests/desired_relay.rs
@@ -17,7 +17,9 @@
 use prost::Message;
 use tokio::{runtime, task, time};
 
+/// Size of a large desired state.
 const STATE: Bytes = Bytes(800_000);
+/// Bandwidth of a link of 10 Mbit/s.
 const THIN: BytesPerSecond = BytesPerSecond(1_250_000);
 
 /// Guards against an instance whose link is full for ten seconds, so that its responses to heartbeats are late. When a
@@ -57,7 +59,7 @@
 fn open_peer(requests: Rc<Cell<u32>>) -> String {
     let listener = server::listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
-    let handler = move |_question| {
+    let handler = move |_request| {
         requests.set(requests.get() + 1);
         let reply = v1::PeerConfigReply { config: b"unreadable".to_vec(), retry_after_ms: 0 };
         async move { Reply::body(StatusCode::OK, reply.encode_to_vec().into()) }
--- a/lilacpass-node/tests/desired_watch.rs
+++ b/lilacpass-node/tests/desired_watch.rs
@@ -71,12 +71,12 @@
     Rc::new(Node::new(instances::settings(store, 0.0)))
 }
 
-/// Guards against an instance that tells its clients for seconds that a queue does not exist which was added long ago.
+/// Guards against an instance that tells its clients for seconds that a queue which was added long ago does not exist.
 /// The instance could not reach the store while operators published a dozen versions. It then read all of them in
 /// order, although only the last one matters.
 #[test]
 fn a_lagging_instance_skips_to_the_newest_desired_state() {
-    /// Reading one outdated version, a pause, and reading the newest.
+    /// Enough to read one outdated version, to pause, and to read the newest one.
     const MAX_CATCH_UP: Duration = Duration::from_millis(2_500);
     let runtime = runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     task::LocalSet::new().block_on(&runtime, async {
--- a/lilacpass-node/tests/election.rs
+++ b/lilacpass-node/tests/election.rs
@@ -3,6 +3,7 @@
 mod cluster;
 
 const FIRST_PORT: u16 = 22_700;
+
 /// Guards against a small leader while larger instances follow it. With an eighth of a core, the leader of a large cell
 /// accepts less than arrives, and clients wait ever longer although workers are idle. Such an instance came to lead
 /// because it was the first to start, or because it replaced a lost leader.
--- a/lilacpass-node/tests/members.rs
+++ b/lilacpass-node/tests/members.rs
@@ -31,8 +31,8 @@
     assert_eq!(members.addresses(), addresses(&["b:1"]));
 }
 
-/// Guards against an instance that has no peers to ask for the leader when leader and store are gone: it had taken a
-/// response that omitted the list for an empty list.
+/// Guards against an instance that knows no peers to ask for a new leader when neither the leader nor the store
+/// responds: it had treated a response without the list as an empty list.
 #[test]
 fn an_omitted_list_keeps_the_known_one() {
     let mut known = KnownMembers::default();
--- a/lilacpass-node/tests/peer_messages.rs
+++ b/lilacpass-node/tests/peer_messages.rs
@@ -66,8 +66,8 @@
 fn messages() -> Vec<(&'static str, Vec<u8>)> {
     let valid = valid();
     let generated = Mutex::new(Vec::new());
-    lilacpass_fuzz::check::<(u8, Vec<Damage>)>(SEEDS, 1 << 6, |(which, damages)| {
-        let (path, bytes) = &valid[usize::from(*which) % valid.len()];
+    lilacpass_fuzz::check::<(u8, Vec<Damage>)>(SEEDS, 1 << 6, |(index, damages)| {
+        let (path, bytes) = &valid[usize::from(*index) % valid.len()];
         generated.lock().expect("messages").push((*path, damaged(bytes, damages)));
     });
     generated.into_inner().expect("messages")
@@ -112,7 +112,7 @@
             );
         }
         let (path, message) = oversized_messages().remove(0);
-        let body = client.call(&call(&address, path, message)).await.expect("an response").body;
+        let body = client.call(&call(&address, path, message)).await.expect("a response").body;
         let reply = v1::PeerWorkReply::decode(body).expect("a reply");
         assert_eq!(reply.outcome(), v1::WorkOutcome::WorkInvalid, "{}", reply.detail);
         assert!(!cluster.instances[0].has_ended().expect("a result"), "the instance has ended");
--- a/lilacpass-node/tests/registry_watch.rs
+++ b/lilacpass-node/tests/registry_watch.rs
@@ -23,7 +23,7 @@
     }
 }
 
-fn is_listed(event: &Event, name: &str) -> bool {
+fn registers(event: &Event, name: &str) -> bool {
     matches!(event, Event::WorkerRegistered(entry) if entry.name == WorkerName::from(name))
 }
 
@@ -33,15 +33,15 @@
     let mut registered = RegisteredWorkers::default();
     let events =
         registered.apply_full_read(vec![stored("w-1", 1, READY_ENTRY), stored("w-2", 2, "{}")]);
-    assert_eq!(events.iter().filter(|event| is_listed(event, "w-1")).count(), 1);
+    assert_eq!(events.iter().filter(|event| registers(event, "w-1")).count(), 1);
     let events = registered.apply_full_read(vec![stored("w-1", 3, "{"), stored("w-2", 4, "{}")]);
     assert_eq!(events, [Event::WorkerUnregistered(WorkerName::from("w-1"))]);
     let events = registered.apply_full_read(vec![stored("w-1", 5, READY_ENTRY)]);
-    let listed = events.iter().filter(|event| is_listed(event, "w-1")).count();
-    assert_eq!(listed, 1, "the worker is used again once its entry can be decoded");
+    let registrations = events.iter().filter(|event| registers(event, "w-1")).count();
+    assert_eq!(registrations, 1, "the worker is used again once its entry can be decoded");
 }
 
-/// The same for an entry that is overwritten between two full reads.
+/// As [`a_worker_with_an_unreadable_entry_is_not_used`], for an entry that is overwritten between two full reads.
 #[test]
 fn an_unreadable_change_ends_the_use_of_a_worker() {
     let mut registered = RegisteredWorkers::default();
@@ -49,7 +49,7 @@
     let events = registered.apply_changes(vec![stored("w-1", 2, "{")]);
     assert_eq!(events, [Event::WorkerUnregistered(WorkerName::from("w-1"))]);
     let events = registered.apply_changes(vec![stored("w-1", 3, READY_ENTRY)]);
-    assert_eq!(events.iter().filter(|event| is_listed(event, "w-1")).count(), 1);
+    assert_eq!(events.iter().filter(|event| registers(event, "w-1")).count(), 1);
 }
 
 /// Guards against a leader that spends its time looking for work for workers that have only renewed their entry.
@@ -88,7 +88,7 @@
     }
 }
 
-/// Guards against counting a worker that has left, and against giving up one whose entry was missing for a moment.
+/// Guards against keeping a worker that has left, and against dropping one whose entry was missing for a moment.
 #[test]
 fn a_removed_worker_is_gone_once_a_full_read_confirms_it() {
     let mut registered = RegisteredWorkers::default();
@@ -97,7 +97,7 @@
     assert!(registered.has_missing());
     let events = registered.apply_full_read(vec![stored("w-2", 5, READY_ENTRY)]);
     assert!(events.contains(&Event::WorkerUnregistered(WorkerName::from("w-1"))), "{events:?}");
-    assert!(events.iter().any(|event| is_listed(event, "w-2")), "{events:?}");
+    assert!(events.iter().any(|event| registers(event, "w-2")), "{events:?}");
     assert!(!registered.has_missing());
 }
 
@@ -120,7 +120,7 @@
 fn watching_the_workers_leaves_a_thin_link_free() {
     const LINK_BYTES_PER_SECOND: u64 = 250_000;
     const DURATION: Duration = Duration::from_secs(4);
-    let shape = CellConfig {
+    let config = CellConfig {
         workers: 200,
         workers_per_data_centre: 40,
         capacity: Resources::new(16_000, 65_536, 0, 0),
@@ -128,7 +128,7 @@
     };
     let runtime = runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     task::LocalSet::new().block_on(&runtime, async {
-        let cell = Cell::serve(24_200, shape).expect("a cell");
+        let cell = Cell::serve(24_200, config).expect("a cell");
         let node = Rc::new(Node::new(instances::settings(&cell.store_address, 2.0)));
         let (messages, mut inbox) = mpsc::unbounded_channel();
         task::spawn_local(registry_watch::run(node, messages));
--- a/lilacpass-node/tests/relay_choice.rs
+++ b/lilacpass-node/tests/relay_choice.rs
@@ -56,15 +56,19 @@
     assert_eq!(choose(9_000.0, 4_000_000.0, LARGE, &[]).len(), 5);
 }
 
-/// Guards against reassigning workers again and again, which delays the workers of each relay.
+/// Guards against replacing relays again and again, which delays the orders to their workers each time.
 #[test]
 fn present_relays_are_kept() {
     let mut chosen = choose(2_000.0, 1_000_000.0, LARGE, &["a:1", "b:2", "c:1"]);
     chosen.sort_unstable();
     assert_eq!(chosen, ["a:1", "b:2", "c:1"]);
     let utilisation = |orders| relay_choice::utilisation(Load { orders, bytes: 0.0 }, LARGE);
-    let between = 1_300.0;
-    assert!((0.1..0.2).contains(&utilisation(between)), "{}", utilisation(between));
-    assert!(choose(between, 0.0, LARGE, &[]).is_empty());
-    assert!(!choose(between, 0.0, LARGE, &["a:2"]).is_empty());
+    let between_thresholds = 1_300.0;
+    assert!(
+        (0.1..0.2).contains(&utilisation(between_thresholds)),
+        "{}",
+        utilisation(between_thresholds)
+    );
+    assert!(choose(between_thresholds, 0.0, LARGE, &[]).is_empty());
+    assert!(!choose(between_thresholds, 0.0, LARGE, &["a:2"]).is_empty());
 }
--- a/lilacpass-node/tests/relay_messages.rs
+++ b/lilacpass-node/tests/relay_messages.rs
@@ -56,16 +56,17 @@
     assert_eq!(relay_messages::read_outcome(done), Ok(None));
 }
 
-/// Guards against running a task twice: a damaged response lacked a run, and the leader took it for gone.
+/// Guards against running a task twice: a damaged response did not name a run, and the leader considered that run
+/// gone.
 #[test]
 fn a_poll_response_with_a_row_without_a_run_is_rejected() {
     let mut sent = relay_messages::poll_outcome(4, Ok(poll_response()));
     sent.answer.as_mut().expect("a response").running[0].run = None;
-    let unanswered = Err(CallError::Failed(Verdict::MayHaveRun));
-    assert_eq!(relay_messages::read_outcome(sent), unanswered);
+    let uncertain = Err(CallError::Failed(Verdict::MayHaveRun));
+    assert_eq!(relay_messages::read_outcome(sent), uncertain);
     let mut sent = relay_messages::poll_outcome(4, Ok(poll_response()));
     sent.answer.as_mut().expect("a response").ends[0].how = "finished".to_owned();
-    assert_eq!(relay_messages::read_outcome(sent), unanswered);
+    assert_eq!(relay_messages::read_outcome(sent), uncertain);
 }
 
 /// A newer version may report an outcome that this one does not know: the order may have been executed.
--- a/lilacpass-node/tests/relays.rs
+++ b/lilacpass-node/tests/relays.rs
@@ -63,8 +63,8 @@
         if let Some((leader, relays)) = &seen
             && relays.len() == count
         {
-            let number = |relay| addresses.iter().position(|address| address == relay);
-            return (*leader, relays.iter().filter_map(number).collect());
+            let index = |relay| addresses.iter().position(|address| address == relay);
+            return (*leader, relays.iter().filter_map(index).collect());
         }
         time::sleep(POLL_INTERVAL).await;
     }
@@ -163,7 +163,7 @@
     });
 }
 
-/// Guards against a planned stop of a relay that breaks off its orders in progress.
+/// Guards against a relay that abandons its orders in progress at a planned stop.
 #[test]
 fn a_stopping_relay_completes_accepted_orders() {
     cluster::run(FIRST_PORT + 200, &CPU_SHARES, async |mut cluster| {
@@ -210,8 +210,8 @@
     });
 }
 
-/// Orders and outcomes that are damaged, without a valid epoch, or not requested are rejected or ignored, and jobs
-/// still complete.
+/// Orders and outcomes that are damaged, incomplete, or of another epoch are rejected or ignored, and jobs still
+/// complete.
 #[test]
 fn foreign_and_damaged_relay_messages_are_harmless() {
     cluster::run(FIRST_PORT + 250, &CPU_SHARES, async |mut cluster| {
--- a/lilacpass-node/tests/thin_links.rs
+++ b/lilacpass-node/tests/thin_links.rs
@@ -96,8 +96,8 @@
     });
 }
 
-/// The same cause in another place: hundreds of idle instances fill the link of their leader, because each heartbeat
-/// response lists them all.
+/// Guards against heartbeat responses that grow with the number of instances. If each response lists them all, hundreds
+/// of idle instances fill the link of their leader.
 #[test]
 fn heartbeat_responses_list_instances_only_to_those_without_the_list() {
     const INSTANCES: usize = 200;
@@ -119,9 +119,9 @@
     });
 }
 
-/// The same incident: the instances never got the new desired state, although the store responded to each of their
-/// reads. The newest record was sent as 1,030 KB of text, which take 0.82 s over 10 Mbit/s. The read timed out after
-/// 0.7 s and started over, endlessly.
+/// Guards against instances that never get a large desired state, although the store responds to each of their reads,
+/// as in the incident of [`heartbeat_responses_stay_small_with_a_large_desired_state`]. The newest record was sent as
+/// 1,030 KB of text, which take 0.82 s over 10 Mbit/s. The read timed out after 0.7 s and started over, endlessly.
 #[test]
 fn a_large_desired_state_arrives_over_a_thin_link() {
     let thin = Member { bytes_per_second: THIN_LINK_BYTES_PER_SECOND, ..Member::with_cpu(1.0) };
--- a/lilacpass-node/tests/thin_store.rs
+++ b/lilacpass-node/tests/thin_store.rs
@@ -79,9 +79,9 @@
         arrived.extend_from_slice(&chunk[..length]);
     }
     let body = r#"{"offset":0,"end":1}"#;
-    let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
+    let response = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
     // A client that has given up does not read the response.
-    let _closed = stream.write_all(answer.as_bytes()).await;
+    let _closed = stream.write_all(response.as_bytes()).await;
 }
 
 fn is_complete(request: &[u8]) -> bool {
@@ -110,8 +110,8 @@
     });
 }
 
-/// Starts a store that has `pages` pages of jobs, each of which takes long, and that refuses each call whose number is
-/// in `refused`.
+/// Starts a store that has `pages` pages of jobs, each of which takes 0.9 s. It refuses each call whose number
+/// satisfies `refused`. Returns its address.
 fn open_paged_store(pages: u32, refused: fn(u32) -> bool) -> String {
     const PAGE_LATENCY: Duration = Duration::from_millis(900);
     let listener = server::listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
@@ -136,9 +136,9 @@
     address
 }
 
-/// Guards against a cell in which no instance leads for long. Reading all jobs over a thin link takes longer than the 2
-/// s for which calls may keep failing. That time was counted from the start of the read, so the first refusal after it
-/// discarded all pages, and the next attempt started over.
+/// Guards against a cell that has no leader for a long time. Reading all jobs over a thin link takes longer than the
+/// two seconds for which calls may keep failing. That time was counted from the start of the read, so the first refusal
+/// after it discarded all pages, and the next attempt started over.
 #[test]
 fn a_late_refusal_does_not_restart_a_long_read() {
     run(async {
--- a/lilacpass-node/tests/watch.rs
+++ b/lilacpass-node/tests/watch.rs
@@ -17,7 +17,7 @@
 }
 
 /// Guards against refusing client requests for over a second after a power failure of all instances, although there is
-/// a new leader. Most instances had seen its announcement, and slept for the whole time that is given to a take-over.
+/// a new leader. Most instances had seen its announcement, and slept for the whole time that a take-over may take.
 #[tokio::test(start_paused = true)]
 async fn a_new_leader_is_noticed_as_soon_as_it_is_written() {
     let begin = Instant::now();
@@ -29,8 +29,8 @@
     assert_eq!(begin.elapsed(), Duration::from_millis(100));
 }
 
-/// Guards against two instances that lead in turn: the second took over before the time given to the first had passed,
-/// because its read had returned nothing or failed.
+/// Guards against two instances that take over from each other in turn: the second did not give the first enough time,
+/// because its read had returned nothing or failed early.
 #[tokio::test(start_paused = true)]
 async fn the_whole_wait_elapses_if_nothing_is_written() {
     let begin = Instant::now();
