--- a/lilacpass-node/src/append.rs
+++ b/lilacpass-node/src/append.rs
@@ -27,12 +27,12 @@
 /// to be slower. It bounds how long after the end of an outage the append is stored. When only the response to the last
 /// attempt was awaited, for up to 3 s, all jobs submitted in the 3 s after an outage of 4 s were lost.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// Timeout of a single attempt, in addition to its transfer time.
-const MAX_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Timeout of a single attempt, in addition to the allowance for its transfer time.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// An append is sent again after this many times its transfer time on this instance's link, in addition to the latency.
 /// Other traffic shares the link.
 const LINK_RETRY_FACTOR: u32 = 2;
-/// An attempt is abandoned after this many times its transfer time, in addition to [`MAX_TIMEOUT`].
+/// An attempt is abandoned after this many times its transfer time, in addition to [`ATTEMPT_TIMEOUT`].
 const LINK_TIMEOUT_FACTOR: u32 = 8;
 /// Latency from which an append is logged. Usual ones take 8 ms.
 const SLOW_APPEND: Duration = Duration::from_millis(100);
@@ -62,7 +62,7 @@
 ) -> Result<(), AppendError> {
     let condition = AppendCondition { expected_end: None, writer: Some(writer) };
     let transfer_time = node.settings.link.time_for(size::Bytes(records.len() as u64));
-    let timeout = MAX_TIMEOUT + transfer_time * LINK_TIMEOUT_FACTOR;
+    let timeout = ATTEMPT_TIMEOUT + transfer_time * LINK_TIMEOUT_FACTOR;
     let send = || async {
         let sent = Instant::now();
         let result = node.store.append(partition, condition, records, timeout).await;
@@ -179,7 +179,7 @@
 /// Interval before an append is sent again, from the store's latency: a slow store must not receive every append
 /// several times.
 fn initial_retry_interval(typical_latency: Duration) -> Duration {
-    (typical_latency * RETRY_LATENCY_FACTOR).clamp(MIN_RETRY_INTERVAL, MAX_TIMEOUT)
+    (typical_latency * RETRY_LATENCY_FACTOR).clamp(MIN_RETRY_INTERVAL, ATTEMPT_TIMEOUT)
 }
 
 /// Updates the latency estimate. It rises at once and falls slowly, so that a slow store does not receive every append
--- a/lilacpass-node/src/handover.rs
+++ b/lilacpass-node/src/handover.rs
@@ -21,7 +21,7 @@
 /// How long a small leader leads before it looks for a larger instance, in milliseconds. By then all instances have
 /// sent it three heartbeats.
 const SETTLE_MS: u64 = 600;
-/// Pause before a larger instance is asked again, in milliseconds. Each hand-over stops the cell for some tenths of a
+/// Pause before the next larger instance is asked, in milliseconds. Each hand-over stops the cell for some tenths of a
 /// second.
 const LARGER_RETRY_MS: u64 = 2_000;
 
@@ -70,12 +70,12 @@
         Self { node, epoch, messages, asked: BTreeSet::new() }
     }
 
-    /// Asks the most suitable peer to take over. Returns whether it did.
+    /// Asks the most suitable peer that has not been asked yet to take over. Returns whether it did.
     async fn ask_any(&mut self) -> bool {
         self.ask_peer_with(0).await
     }
 
-    /// Asks a peer with at least this CPU limit, in thousandths of a core.
+    /// Asks a peer with at least this CPU limit, in thousandths of a core, to take over. Returns whether it did.
     async fn ask_peer_with(&mut self, min_cpu_millis: u32) -> bool {
         let Some(address) = self.choose_peer(min_cpu_millis) else {
             self.asked.clear();
@@ -95,8 +95,8 @@
         self.ask_peer_with(own_cpu_millis + 1).await
     }
 
-    /// A peer that is alive and not about to stop. Peers that reach the store are preferred to others, then large ones
-    /// to small ones; equal ones are chosen at random.
+    /// A peer that is alive, not about to stop, and not asked yet. Peers that reach the store are preferred to others,
+    /// then large ones to small ones; equal ones are chosen at random.
     fn choose_peer(&self, min_cpu_millis: u32) -> Option<String> {
         let now_ms = clock::now().steady_ms;
         let members = self.node.members.borrow();
--- a/lilacpass-node/src/leader_loop.rs
+++ b/lilacpass-node/src/leader_loop.rs
@@ -252,8 +252,8 @@
         self.node.relays.borrow_mut().review(capacity, candidates.collect(), now_ms);
     }
 
-    /// The relay for an order to a worker, or `None` to send it directly. Workers that failed to respond lately are
-    /// called directly, because it may be the relay that cannot reach them.
+    /// Counts an order to a worker, and returns its relay, or `None` to send it directly. Workers that failed to respond
+    /// lately are called directly, because it may be the relay that cannot reach them.
     fn relay_for(&self, worker: &WorkerName, payload_bytes: usize) -> orders::Route {
         let mut relays = self.node.relays.borrow_mut();
         relays.count_order(payload_bytes);
--- a/lilacpass-node/src/relays.rs
+++ b/lilacpass-node/src/relays.rs
@@ -84,7 +84,7 @@
     relays: BTreeMap<Rc<str>, Relay>,
     /// Orders in progress by number, including those of retired relays, which may still report outcomes.
     pending: HashMap<u64, Pending>,
-    /// Times until which instances are not used as relays, by address.
+    /// Times until which instances are not used as relays, on the steady clock, by address.
     cooldowns: HashMap<String, u64>,
     /// Number of consecutive failures of instances, by address.
     consecutive_failures: HashMap<String, u32>,
@@ -181,7 +181,7 @@
             if relay.faulty >= MIN_FAULTY_ORDERS
                 && relay.faulty * MAX_ORDERS_PER_FAULT >= relay.completed
             {
-                log::info!(relay = &**address, wrong = relay.faulty, done = relay.completed; "relay is cut off from its workers");
+                log::info!(relay = &**address, wrong = relay.faulty, done = relay.completed; "pausing a relay with too many faulty orders");
                 faulty.push(address.clone());
             } else if relay.faulty == 0 && relay.completed >= RECOVERY_ORDERS {
                 self.consecutive_failures.remove(&**address);
--- a/lilacpass-node/src/takeover.rs
+++ b/lilacpass-node/src/takeover.rs
@@ -61,6 +61,7 @@
 #[derive(Debug)]
 pub struct Snapshot {
     records: JobRecords,
+    /// The offset: where the partition ended when the first page was read.
     end: u64,
     /// When the read started.
     start: Instant,
@@ -178,7 +179,7 @@
     }
 }
 
-/// Newest job records by key, with their offsets.
+/// Newest plan and newest state of each job, as their offset in the partition and their encoding.
 #[derive(Debug, Default)]
 struct JobRecords {
     plans: HashMap<JobKey, (u64, Vec<u8>)>,
--- a/lilacpass-node/tests/desired_watch.rs
+++ b/lilacpass-node/tests/desired_watch.rs
@@ -24,7 +24,7 @@
 /// Transfer time of a desired state: 770 KB over 10 Mbit/s.
 const TRANSFER_TIME: Duration = Duration::from_millis(620);
 
-/// When the store stops responding, and when it responds again.
+/// When the store stops responding, and when it responds again, as times since its start.
 const OUTAGE: (Duration, Duration) = (Duration::from_millis(300), Duration::from_millis(2_300));
 
 /// Responds as a store that was unavailable while all versions but the first were published. Each read returns one
--- a/lilacpass-node/tests/peer_messages.rs
+++ b/lilacpass-node/tests/peer_messages.rs
@@ -19,7 +19,7 @@
 /// A change to a message: kind of change, position, and byte.
 type Damage = (u8, u16, u8);
 
-/// Messages that instances forward to the leader, with their paths.
+/// Valid messages between the leader and other instances, with their paths.
 fn valid() -> Vec<(&'static str, Vec<u8>)> {
     let queue = v1::QueuePolicy { name: "quick".to_owned(), attempts: 3, ..Default::default() };
     let step = v1::WorkStep { count: 2, cpu_milli: 100, memory_mb: 10, ..Default::default() };
