--- a/lilacpass-core/src/ids.rs
+++ b/lilacpass-core/src/ids.rs
@@ -80,7 +80,7 @@
     WorkerId
 }
 name_id! {
-    /// A shard: a group of workers that is always held by a single entry instance, by default a rack.
+    /// A shard: a group of workers, by default those of a rack, that a single entry instance holds at any time.
     ShardId
 }
 name_id! {
--- a/lilacpass-fuzz/src/fixed.rs
+++ b/lilacpass-fuzz/src/fixed.rs
@@ -34,10 +34,10 @@
 ) where
     T: TypeGenerator + Debug,
 {
-    let lengths = (len.end() - len.start()) as u64 + 1;
+    let length_count = (len.end() - len.start()) as u64 + 1;
     let generate = |seed| {
-        let items = *len.start() + (seed % lengths) as usize;
-        with_driver(seed, max_len, |driver| (0..items).map(|_| T::generate(driver)).collect())
+        let length = *len.start() + (seed % length_count) as usize;
+        with_driver(seed, max_len, |driver| (0..length).map(|_| T::generate(driver)).collect())
     };
     run_values(count, generate, test);
 }
--- a/lilacpass-jobs/src/end.rs
+++ b/lilacpass-jobs/src/end.rs
@@ -7,13 +7,13 @@
 /// How strong the evidence is that a task crashed its worker, from weakest to strongest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Suspicion {
-    /// There is a better explanation: the cause of the loss also hit other workers, or it was another task.
+    /// There is a better explanation: the worker was lost together with others, or another task crashed it.
     Cleared,
     /// The task was on the worker, but the worker had survived the start of the task.
     Present,
     /// The worker is not known to have survived the start of the task.
     Suspect,
-    /// As `Suspect`, and it holds for no other task on the worker, and the worker had reported the start of the task.
+    /// As `Suspect`, but no other task on the worker is suspect, and the worker had reported the start of the task.
     Only,
 }
 
--- a/lilacpass-jobs/src/job.rs
+++ b/lilacpass-jobs/src/job.rs
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Handles the end of a run on a worker. `unix_ms` is the time of day, in milliseconds since 1970.
+    /// Handles the end of a run on a worker. `unix_ms` is the current time, in milliseconds since 1970.
     pub fn end_run(
         &mut self,
         name: TaskName,
@@ -327,7 +327,7 @@
         self.fail(Failure { task: name, cause: Cause::Attempts, count }, unix_ms)
     }
 
-    /// Records that a worker crashed during a run. The run must already have been removed from the worker.
+    /// Records that a worker crashed during a run. The run must already have been removed from its task.
     pub fn record_crash(
         &mut self,
         name: TaskName,
--- a/lilacpass-jobs/tests/jobs.rs
+++ b/lilacpass-jobs/tests/jobs.rs
@@ -165,7 +165,7 @@
 
 /// A job whose runs are only assigned must decode as not started, and a started job as started.
 #[test]
-fn the_record_tells_whether_a_job_has_started() {
+fn the_record_states_whether_a_job_has_started() {
     let mut job = new_job(vec![step_plan(1, vec![])]);
     assign(&mut job, step_name(0).task(0));
     let plan = record::encode_plan(&job);
--- a/lilacpass-lab/src/arrivals.rs
+++ b/lilacpass-lab/src/arrivals.rs
@@ -6,7 +6,7 @@
 
 use crate::scenario::{Class, FaultKind, Scenario};
 
-/// Time of day at which a simulation starts, in milliseconds since 1970.
+/// Calendar time at which a simulation starts, in milliseconds since 1970.
 pub const START_UNIX_MS: u64 = 1_800_000_000_000;
 
 /// Range of the work of a task, as factors of the work that its class specifies.
@@ -19,7 +19,7 @@
     pub at_ms: u64,
     /// Name of the job.
     pub key: JobKey,
-    /// Number of its class in the scenario.
+    /// Index of its class in the scenario.
     pub class: usize,
     /// Work of each task in milliseconds, by step and index.
     pub work_ms: Vec<Vec<u64>>,
--- a/lilacpass-lab/src/callers.rs
+++ b/lilacpass-lab/src/callers.rs
@@ -3,7 +3,7 @@
 use lilacpass_lead::event::Response;
 
 /// How long a caller waits for a response, in milliseconds.
-pub const PATIENCE_MS: u64 = 3_000;
+pub const RESPONSE_TIMEOUT_MS: u64 = 3_000;
 /// Maximum number of retries of a caller.
 const MAX_RETRIES: u32 = 4;
 
--- a/lilacpass-lab/src/cell.rs
+++ b/lilacpass-lab/src/cell.rs
@@ -3,8 +3,8 @@
 //! The model includes workers with capacity, leases, ends and checkpoints; one append at a time; calls of the advice
 //! service; callers that retry; bursts; slow, failing, crashing and shrinking workers; a slow or unavailable store; and
 //! an unresponsive advice service. It leaves out other instances and take-overs, lost messages, cancelled jobs, tasks
-//! that are slow across racks, and the processor time of the leader: a scheduling round takes no simulated time, its
-//! real time is measured separately.
+//! that are slow across racks, and the processor time of the leader: a scheduling round takes no simulated time;
+//! its real duration is measured separately.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -66,7 +66,7 @@
     ReadRegistrations,
     /// Records the processor use and the number of waiting steps.
     Sample,
-    /// Crashes the worker with index `at`, if its incarnation is still `worker`.
+    /// Crashes the worker with this index, if `worker` is still its current incarnation.
     Crash { index: usize, worker: WorkerName },
     /// Restarts the crashed worker with this index.
     Restart(usize),
--- a/lilacpass-lab/src/model_worker.rs
+++ b/lilacpass-lab/src/model_worker.rs
@@ -112,7 +112,7 @@
         self.waiting_poll.take()
     }
 
-    /// Restarts the worker as a new incarnation, without any runs or ends.
+    /// Restarts the worker as the incarnation number `life`, without any runs or ends.
     pub fn restart(&mut self, life: u64) {
         let name = format!("{}-life-{life}", self.first_name);
         let registration =
--- a/lilacpass-lab/src/outcome.rs
+++ b/lilacpass-lab/src/outcome.rs
@@ -21,9 +21,9 @@
     pub asked: u32,
     /// Number of jobs completed in time.
     pub in_time: u32,
-    /// Number of jobs completed late.
+    /// Number of jobs completed late, but early enough to have some worth; see `scenario::Class::stretch`.
     pub late: u32,
-    /// Number of accepted jobs that were completed too late or not at all.
+    /// Number of accepted jobs that failed, never completed, or completed even later than the late ones.
     pub lost: u32,
     /// Number of jobs that were refused until their callers gave up.
     pub refused: u32,
@@ -56,7 +56,7 @@
     pub thrown_away_core_s: f64,
     /// Number of starts on workers that lacked the capacity.
     pub over_capacity: u32,
-    /// Number of workers that tasks crashed.
+    /// Number of worker crashes that tasks caused.
     pub crashed_workers: u32,
     /// Highest number of starts of a task that crashes its workers.
     pub most_crashing_starts: u32,
@@ -89,7 +89,7 @@
     pub wasted_milli_core_ms: u64,
     /// Number of starts on workers that lacked the capacity.
     pub over_capacity: u32,
-    /// Number of workers that tasks crashed.
+    /// Number of worker crashes that tasks caused.
     pub crashed_workers: u32,
     /// Highest number of starts of a task that crashes its workers.
     pub most_crashing_starts: u32,
--- a/lilacpass-lab/src/plot.rs
+++ b/lilacpass-lab/src/plot.rs
@@ -14,6 +14,7 @@
     report::Comparison,
 };
 
+/// Width and height of a plot.
 const SIZE_PX: (u32, u32) = (900, 420);
 const MARGIN_PX: i32 = 12;
 const LABELS_PX: i32 = 48;
--- a/lilacpass-lab/src/worker_faults.rs
+++ b/lilacpass-lab/src/worker_faults.rs
@@ -17,7 +17,7 @@
 /// Time after a change of its capacity during which a worker may be overcommitted, because the leader may not know of
 /// the change yet.
 const CAPACITY_GRACE_MS: u64 = 1_000;
-/// Timeout of an order of the leader to a worker that does not answer.
+/// Time after which an order of the leader to a worker times out.
 const ORDER_TIMEOUT_MS: u64 = 400;
 
 impl Simulation<'_> {
--- a/lilacpass-lab/tests/lab.rs
+++ b/lilacpass-lab/tests/lab.rs
@@ -1,5 +1,5 @@
-//! Tests of the lab: simulations are reproducible, the bound is a bound, invalid scenarios are refused with the name
-//! of the field, and policies differ where they should.
+//! Tests of the lab: simulations are reproducible, no policy exceeds the bound, errors for invalid scenarios name the
+//! field, and preemption and the limits on crashing tasks have an effect.
 
 use std::path::Path;
 
