--- a/lilacpass-lab/src/model_worker.rs
+++ b/lilacpass-lab/src/model_worker.rs
@@ -78,7 +78,7 @@
     pub waiting_poll: Option<WaitingPoll>,
     /// End of the leases of all runs, in simulated milliseconds.
     lease_until_ms: u64,
-    /// Ends that the leader has not told the worker to forget.
+    /// Ends that the leader has not acknowledged yet.
     ends: Vec<ReportedEnd>,
     /// Number of the next end.
     next_end: u64,
--- a/lilacpass-lab/src/policy.rs
+++ b/lilacpass-lab/src/policy.rs
@@ -12,7 +12,7 @@
 
 /// Name of the current policy.
 const TODAY: &str = "today";
-/// Prefix of the name of a mechanism that is switched off.
+/// Prefix of the name of a policy in which a mechanism is disabled.
 const WITHOUT: &str = "without-";
 /// Name of the upper bound.
 const BOUND: &str = "bound";
