--- a/lilacpass-lead/benches/cell/mod.rs
+++ b/lilacpass-lead/benches/cell/mod.rs
@@ -58,7 +58,9 @@
 /// A worker of the cell.
 struct Host {
     name: WorkerName,
+    /// Running tasks, each with the number of its run.
     running: Vec<(TaskName, u32)>,
+    /// Number of the last run end on the worker.
     last_end: u64,
 }
 
@@ -143,10 +145,10 @@
         queue(self.next_host, self.jobs as usize % QUEUE_KINDS)
     }
 
-    /// Returns the response to a poll of a worker of which `ends` tasks have ended.
-    fn poll_result(&mut self, at: usize, ends: usize) -> Event {
+    /// Ends up to `ends` tasks on a worker, and returns the result of a poll that reports them.
+    fn poll_result(&mut self, host_index: usize, ends: usize) -> Event {
         let now_ms = self.now_ms;
-        let host = &mut self.hosts[at];
+        let host = &mut self.hosts[host_index];
         let ended: Vec<(TaskName, u32)> =
             host.running.drain(..ends.min(host.running.len())).collect();
         let row = |&(task, run): &(TaskName, u32)| ReportedRun {
@@ -163,17 +165,17 @@
             let end = RunEnd { run, reason: EndReason::Done, checkpoint: String::new() };
             rows.push(ReportedEnd { number: host.last_end, task, end });
         }
-        let answer =
+        let response =
             PollResponse { clock_ms: now_ms, running, ends: rows, ..PollResponse::default() };
         let sent_ms = now_ms - 1;
-        Event::Polled { worker: host.name.clone(), sent_ms, extra: false, result: Ok(answer) }
+        Event::Polled { worker: host.name.clone(), sent_ms, extra: false, result: Ok(response) }
     }
 
     fn poll_all_workers(&mut self) {
         self.next_polls_ms = self.now_ms + POLL_INTERVAL_MS;
         self.leader.handle(Event::LeadershipConfirmed { sent_ms: self.now_ms }, self.now());
-        for at in 0..self.hosts.len() {
-            let event = self.poll_result(at, 0);
+        for host_index in 0..self.hosts.len() {
+            let event = self.poll_result(host_index, 0);
             self.leader.handle(event, self.now());
         }
         self.finish();
@@ -198,8 +200,8 @@
             match effect {
                 Effect::Append(_) => events.push(Event::Appended),
                 Effect::Start { worker, task, run, .. } => {
-                    let at = self.hosts.partition_point(|host| host.name < worker);
-                    self.hosts[at].running.push((task, run));
+                    let host_index = self.hosts.partition_point(|host| host.name < worker);
+                    self.hosts[host_index].running.push((task, run));
                     events.push(Event::Started { worker, task, run, result: Ok(()) });
                 }
                 Effect::RequestAdvice { lane, step, workers, .. } => {
@@ -303,18 +305,18 @@
 }
 
 /// Creates a queue of a service: without advice, with quick advice, or with slow advice.
-fn queue(number: usize, sort: usize) -> v1::QueuePolicy {
-    let (base_ms, per_worker_ms) = [(0.0, 0.0), (20.0, 0.2), (490.0, 7.0)][sort];
+fn queue(number: usize, kind: usize) -> v1::QueuePolicy {
+    let (base_ms, per_worker_ms) = [(0.0, 0.0), (20.0, 0.2), (490.0, 7.0)][kind];
     let advice = v1::AdvicePolicy { base_ms, per_worker_ms, valid_ms: TICKET_MS as u32 };
     let service = service(number);
     v1::QueuePolicy {
-        name: format!("{service}-{sort}"),
+        name: format!("{service}-{kind}"),
         service,
         priority: 2,
         attempts: 3,
         stretch: 1.5,
         objective_ms: 250,
-        advice: (sort > 0).then_some(advice),
+        advice: (kind > 0).then_some(advice),
     }
 }
 
--- a/lilacpass-lead/benches/flow.rs
+++ b/lilacpass-lead/benches/flow.rs
@@ -59,10 +59,13 @@
 /// A worker of the cell.
 struct Host {
     name: WorkerName,
+    /// Running tasks, each with the number of its run.
     running: BTreeMap<TaskName, u32>,
+    /// Ends that the leader has not let the worker forget.
     ends: Vec<ReportedEnd>,
+    /// Number of the last run end on the worker.
     last_end: u64,
-    /// Number of the pending poll, and when it was sent.
+    /// Number of the pending poll, and when it was sent in ms.
     poll: Option<(u64, u64)>,
 }
 
@@ -75,7 +78,7 @@
     poll_count: u64,
     jobs: u64,
     /// Run time of the tasks of each job in ms.
-    plans: BTreeMap<JobKey, u32>,
+    run_times_ms: BTreeMap<JobKey, u32>,
     /// Time that the leader took since [`Flow::run`] was called.
     took: Duration,
     /// Time that the leader took for each event.
@@ -93,7 +96,7 @@
             actions: EventQueue::default(),
             poll_count: 0,
             jobs: 0,
-            plans: BTreeMap::new(),
+            run_times_ms: BTreeMap::new(),
             took: Duration::ZERO,
             rounds: Vec::new(),
         };
@@ -145,7 +148,7 @@
             Action::Deliver(event) => self.deliver(event),
             Action::EndRun { host, task, run } => self.end_run(host, task, run),
             Action::EndPollWait { host, poll } => {
-                if self.hosts[host].poll.is_some_and(|(waiting, _)| waiting == poll) {
+                if self.hosts[host].poll.is_some_and(|(pending, _)| pending == poll) {
                     self.answer_poll(host);
                 }
             }
@@ -181,22 +184,22 @@
         match effect {
             Effect::Append(_) => self.schedule(APPEND_MS, Action::Deliver(Event::Appended)),
             Effect::Poll { worker, forget_up_to, wait_ms, .. } => {
-                let at = self.host(&worker);
+                let host_index = self.host_index(&worker);
                 self.poll_count += 1;
                 let poll = self.poll_count;
-                let host = &mut self.hosts[at];
+                let host = &mut self.hosts[host_index];
                 host.poll = Some((poll, self.now_ms));
                 host.ends.retain(|row| row.number > forget_up_to);
                 let wait_ms = if host.ends.is_empty() { wait_ms } else { 0 };
-                self.schedule(wait_ms, Action::EndPollWait { host: at, poll });
+                self.schedule(wait_ms, Action::EndPollWait { host: host_index, poll });
             }
             Effect::Start { worker, task, run, .. } => {
-                let host = self.host(&worker);
+                let host = self.host_index(&worker);
                 self.hosts[host].running.insert(task, run);
-                let ms = u64::from(self.plans[&task.step.job]);
+                let run_ms = u64::from(self.run_times_ms[&task.step.job]);
                 // Run times of the tasks of a step vary slightly.
-                let ms = ms * (85 + u64::from(task.index) * 7 % 30) / 100;
-                self.schedule(RESPONSE_MS + ms, Action::EndRun { host, task, run });
+                let run_ms = run_ms * (85 + u64::from(task.index) * 7 % 30) / 100;
+                self.schedule(RESPONSE_MS + run_ms, Action::EndRun { host, task, run });
                 let event = Event::Started { worker, task, run, result: Ok(()) };
                 self.schedule(RESPONSE_MS, Action::Deliver(event));
             }
@@ -211,24 +214,24 @@
         }
     }
 
-    fn host(&self, worker: &WorkerName) -> usize {
+    fn host_index(&self, worker: &WorkerName) -> usize {
         self.hosts.partition_point(|host| host.name < *worker)
     }
 
-    fn end_run(&mut self, at: usize, task: TaskName, run: u32) {
-        let host = &mut self.hosts[at];
+    fn end_run(&mut self, host_index: usize, task: TaskName, run: u32) {
+        let host = &mut self.hosts[host_index];
         host.running.remove(&task);
         host.last_end += 1;
         let end = RunEnd { run, reason: EndReason::Done, checkpoint: String::new() };
         host.ends.push(ReportedEnd { number: host.last_end, task, end });
         if host.poll.is_some() {
-            self.answer_poll(at);
+            self.answer_poll(host_index);
         }
     }
 
-    fn answer_poll(&mut self, at: usize) {
+    fn answer_poll(&mut self, host_index: usize) {
         let clock_ms = self.now_ms;
-        let host = &mut self.hosts[at];
+        let host = &mut self.hosts[host_index];
         let Some((_, sent_ms)) = host.poll.take() else { return };
         let row = |(&task, &run): (&TaskName, &u32)| ReportedRun {
             task,
@@ -238,10 +241,10 @@
             gauge: 0,
         };
         let running = host.running.iter().map(row).collect();
-        let answer =
+        let response =
             PollResponse { clock_ms, running, ends: host.ends.clone(), remaining_ms: None };
         let worker = host.name.clone();
-        let event = Event::Polled { worker, sent_ms, extra: false, result: Ok(answer) };
+        let event = Event::Polled { worker, sent_ms, extra: false, result: Ok(response) };
         self.schedule(RESPONSE_MS, Action::Deliver(event));
     }
 
@@ -253,7 +256,7 @@
         let is_long = number.is_multiple_of(JOBS_PER_LONG_JOB);
         let job = JobKey(number);
         let estimate_ms = if is_long { 4_800 } else { 640 };
-        self.plans.insert(job, estimate_ms);
+        self.run_times_ms.insert(job, estimate_ms);
         let queue =
             if is_long { queue("long", 2, (546.0, 7.8)) } else { queue("short", 0, (27.3, 0.39)) };
         let width = (if is_long { 16 } else { 5 }) + (number * 7 % 17) as u32;
@@ -266,13 +269,13 @@
 
 /// Returns a response of the advice service that allows two in three workers, which differ from job to job.
 fn advice_received(lane: Lane, step: StepName, queried: Vec<WorkerName>) -> Event {
-    let is_good = |worker: &&WorkerName| {
-        let last = worker.as_str().bytes().last().map_or(0, u64::from);
-        !(last + step.job.0).is_multiple_of(3)
+    let is_allowed = |worker: &&WorkerName| {
+        let last_byte = worker.as_str().bytes().last().map_or(0, u64::from);
+        !(last_byte + step.job.0).is_multiple_of(3)
     };
     let ticket =
         |worker: &WorkerName| WorkerTicket { worker: worker.clone(), ticket: "t".to_owned() };
-    let good = queried.iter().filter(is_good).map(ticket).collect();
+    let good = queried.iter().filter(is_allowed).map(ticket).collect();
     Event::AdviceReceived {
         lane,
         step,
@@ -309,6 +312,7 @@
     v1::WorkPlan { payload: "do".to_owned(), steps, ..Default::default() }
 }
 
+/// Measures a second of simulated time for each size of cell, and prints the percentiles of single events.
 fn seconds(c: &mut Criterion) {
     for workers in WORKERS {
         let mut flow = None;
--- a/lilacpass-lead/benches/round.rs
+++ b/lilacpass-lead/benches/round.rs
@@ -19,7 +19,7 @@
 const DECISIONS: [Case; 3] = [Case::FreedWorker, Case::QuietLook, Case::NewJob];
 /// Number of single decisions that the percentiles are computed from.
 const SINGLE_DECISIONS: usize = 300;
-/// Maximum total time of the single decisions of a cell, after which fewer are used.
+/// Maximum total time of the single decisions of a cell. After that, the percentiles are computed from fewer decisions.
 const MAX_SINGLE_TIME: Duration = Duration::from_secs(3);
 
 fn rounds(c: &mut Criterion) {
--- a/lilacpass-lead/src/advance_reservations.rs
+++ b/lilacpass-lead/src/advance_reservations.rs
@@ -87,13 +87,13 @@
         if self.reservations.advance_count(service) >= (pool / WORKERS_PER_RESERVATION).max(1) {
             return;
         }
-        let wanted = if plan.gang { u64::from(plan.count) } else { 1 };
+        let worker_count = if plan.gang { u64::from(plan.count) } else { 1 };
         let mut offers = self.advance_offers(name, plan, &rank, now);
         offers.sort();
-        if (offers.len() as u64) < wanted {
+        if (offers.len() as u64) < worker_count {
             return;
         }
-        offers.truncate(wanted as usize);
+        offers.truncate(worker_count as usize);
         let need = place::need(plan);
         let wait_ms = offers.iter().map(|offer| offer.wait_ms).max().unwrap_or(0);
         let until_ms = now.steady_ms + (wait_ms + SLACK_MS).min(MAX_RESERVATION_MS);
@@ -141,17 +141,18 @@
     ) -> Option<u64> {
         let need = place::need(plan);
         let reserved = self.reservations.reserved_before(rank, &worker.registration.name);
+        // The remaining time of each run in ms, and the resources that its end frees.
         let mut ends: Vec<(u64, Resources)> = worker
             .runs
             .iter()
             .filter_map(|((task, _), assigned)| {
-                let running = self.jobs.get(&task.step.job)?.job.step_plan(task.step.step);
-                let estimate_ms = u64::from(running.estimate_ms);
+                let running_plan = self.jobs.get(&task.step.job)?.job.step_plan(task.step.step);
+                let estimate_ms = u64::from(running_plan.estimate_ms);
                 let remaining_ms = assigned
                     .progress
-                    .and_then(|seen| seen.estimated_remaining_ms(now.steady_ms))
+                    .and_then(|progress| progress.estimated_remaining_ms(now.steady_ms))
                     .unwrap_or(estimate_ms);
-                (!running.lasting).then_some((remaining_ms, assigned.need))
+                (!running_plan.lasting).then_some((remaining_ms, assigned.need))
             })
             .collect();
         ends.sort_by_key(|(remaining_ms, _)| *remaining_ms);
--- a/lilacpass-lead/src/advice.rs
+++ b/lilacpass-lead/src/advice.rs
@@ -40,6 +40,7 @@
 #[derive(Debug)]
 struct Ticket {
     text: String,
+    /// Expiry in ms on the monotonic clock.
     until_ms: u64,
 }
 
@@ -52,7 +53,10 @@
 
     /// Returns the workers for which there are tickets that are valid now.
     pub fn workers_with_tickets(&self, now_ms: u64) -> impl Iterator<Item = &WorkerName> {
-        self.tickets.iter().filter(move |(_, t)| now_ms < t.until_ms).map(|(worker, _)| worker)
+        self.tickets
+            .iter()
+            .filter(move |(_, ticket)| now_ms < ticket.until_ms)
+            .map(|(worker, _)| worker)
     }
 
     /// Delays the next call because there were no candidates to name.
@@ -90,9 +94,9 @@
             return;
         };
         let until_ms = (now_ms + advice.valid_ms).saturating_sub(margin_ms);
-        for row in advice.good {
-            self.verdicts.insert(row.worker.clone(), true);
-            self.tickets.insert(row.worker, Ticket { text: row.ticket, until_ms });
+        for allowed in advice.good {
+            self.verdicts.insert(allowed.worker.clone(), true);
+            self.tickets.insert(allowed.worker, Ticket { text: allowed.ticket, until_ms });
         }
         for worker in queried {
             self.verdicts.entry(worker.clone()).or_insert(false);
--- a/lilacpass-lead/src/advice_requests.rs
+++ b/lilacpass-lead/src/advice_requests.rs
@@ -36,8 +36,8 @@
     ///
     /// The other tasks of the step usually end soon after. If tickets are available by then, the end of this step and
     /// the starts of the next ones are stored with one append.
-    pub(crate) fn request_advice_for_next_steps(&mut self, done: StepName, now: Now) {
-        let Some(entry) = self.jobs.get(&done.job) else { return };
+    pub(crate) fn request_advice_for_next_steps(&mut self, step: StepName, now: Now) {
+        let Some(entry) = self.jobs.get(&step.job) else { return };
         let is_quick =
             entry.job.queue.advice.is_some_and(|policy| policy.base_ms <= MAX_EARLY_CALL_MS);
         if !is_quick || !self.lanes.has_idle() {
@@ -46,8 +46,8 @@
         let next: Vec<StepName> = entry
             .job
             .step_names()
-            .filter(|name| name.occurrence == done.occurrence)
-            .filter(|name| entry.job.step_plan(name.step).after.contains(&done.step))
+            .filter(|name| name.occurrence == step.occurrence)
+            .filter(|name| entry.job.step_plan(name.step).after.contains(&step.step))
             .filter(|name| !self.advice.contains_key(name))
             .collect();
         for name in next {
@@ -61,7 +61,7 @@
         let Some(entry) = self.jobs.get(&name.job) else { return };
         let Some(policy) = entry.job.queue.advice else { return };
         let known = self.advice.get(&name);
-        if known.is_some_and(|a| a.call_pending || now.steady_ms < a.next_call_ms) {
+        if known.is_some_and(|advice| advice.call_pending || now.steady_ms < advice.next_call_ms) {
             return;
         }
         let plan = entry.job.step_plan(name.step).clone();
@@ -174,20 +174,20 @@
         log::info!(step:% = step, asked = queried.len(), good:? = good; "advice received");
         if let Some(response) = &response {
             let share = response.good.len() as f64 / queried.len().max(1) as f64;
-            let learned = self
+            let average_share = self
                 .allowed_shares
                 .entry(entry.job.queue.name.clone())
                 .or_insert(INITIAL_ALLOWED_SHARE);
-            *learned += (share - *learned) * ALLOWED_SHARE_WEIGHT;
+            *average_share += (share - *average_share) * ALLOWED_SHARE_WEIGHT;
         }
         let margin_ms = self.options.ticket_margin_ms;
-        let known = self.advice.entry(step).or_default();
-        known.record_response(queried, response, margin_ms, now.steady_ms);
-        let is_bad = |worker: &WorkerName| known.verdict(worker) == Some(false);
-        for worker in queried.iter().filter(|worker| known.verdict(worker) == Some(true)) {
+        let advice = self.advice.entry(step).or_default();
+        advice.record_response(queried, response, margin_ms, now.steady_ms);
+        let is_forbidden = |worker: &WorkerName| advice.verdict(worker) == Some(false);
+        for worker in queried.iter().filter(|worker| advice.verdict(worker) == Some(true)) {
             self.allowed_steps.entry(worker.clone()).or_default().insert(step);
         }
-        if self.reservations.workers_of(step).iter().any(is_bad) {
+        if self.reservations.workers_of(step).iter().any(is_forbidden) {
             for worker in self.reservations.release(step) {
                 self.pending_changes.mark_worker_freed(&worker);
             }
--- a/lilacpass-lead/src/candidates.rs
+++ b/lilacpass-lead/src/candidates.rs
@@ -22,7 +22,7 @@
 const RATE_ALL_DIVISOR: usize = 8;
 
 /// Maximum number of workers that are tried in order of preference before all workers are rated instead. Trying a
-/// worker this way costs several times as much, and a step that has already asked about all workers with enough free
+/// worker this way costs several times as much, and a step that already has advice about all workers with enough free
 /// capacity would search in vain again and again.
 const MAX_PREFERRED_TRIES: usize = 32;
 
@@ -47,8 +47,8 @@
         let named = candidates.split_last().map(|(_, named)| named).unwrap_or_default();
         let expected: f64 =
             named.iter().map(|rated| share(rated) * rated.task_capacity as f64).sum();
-        let fits: u64 = candidates.iter().map(|rated| rated.task_capacity).sum();
-        expected >= self.target_tasks as f64 && fits >= self.waiting_tasks
+        let task_capacity: u64 = candidates.iter().map(|rated| rated.task_capacity).sum();
+        expected >= self.target_tasks as f64 && task_capacity >= self.waiting_tasks
     }
 }
 
@@ -68,8 +68,10 @@
     plan: &'a v1::WorkStep,
     entry: &'a JobEntry,
     advice: Option<&'a StepAdvice>,
+    /// Resources that one task needs.
     need: Resources,
     rank: Rank,
+    /// Number of waiting tasks of the step.
     waiting: u64,
     /// Whether capacity that could be freed by preempting less urgent work counts as free.
     with_preemption: bool,
@@ -99,8 +101,8 @@
             with_preemption: false,
         };
         let fitting = self.rate_fitting(&search, demand, now);
-        let fits: u64 = fitting.iter().map(|rated| rated.task_capacity).sum();
-        if fits >= demand.waiting_tasks || !self.may_preempt_any(name) || plan.lasting {
+        let task_capacity: u64 = fitting.iter().map(|rated| rated.task_capacity).sum();
+        if task_capacity >= demand.waiting_tasks || !self.may_preempt_any(name) || plan.lasting {
             return to_candidates(&fitting);
         }
         search.with_preemption = true;
@@ -179,7 +181,8 @@
         }
         let worker_name = &worker.registration.name;
         let verdict = search.verdict(worker_name);
-        let holds_ticket = advice.is_some_and(|a| a.ticket(worker_name, now.steady_ms).is_some());
+        let holds_ticket =
+            advice.is_some_and(|advice| advice.ticket(worker_name, now.steady_ms).is_some());
         if verdict == Some(false) || holds_ticket {
             return None;
         }
--- a/lilacpass-lead/src/capacity_index.rs
+++ b/lilacpass-lead/src/capacity_index.rs
@@ -20,7 +20,7 @@
 /// Index of the workers of each pool that can get work.
 #[derive(Debug, Default)]
 pub struct CapacityIndex {
-    /// One pool per service. There are only few, so pools are never removed.
+    /// One pool per service. There are only a few, so pools are never removed.
     pools: Vec<Pool>,
     entries: HashMap<WorkerName, IndexEntry>,
 }
--- a/lilacpass-lead/src/counters.rs
+++ b/lilacpass-lead/src/counters.rs
@@ -36,8 +36,8 @@
 
 impl Counters {
     /// Counts a lost worker.
-    pub fn count_lost_worker(&mut self, how: WorkerLoss) {
-        self.lost[how as usize] += 1;
+    pub fn count_lost_worker(&mut self, loss: WorkerLoss) {
+        self.lost[loss as usize] += 1;
     }
 
     /// Counts a failed job.
@@ -45,13 +45,13 @@
         self.failed[cause as usize] += 1;
     }
 
-    /// Number of jobs that failed for the given cause.
+    /// Number of jobs that failed for this cause.
     pub fn jobs_failed(&self, cause: Cause) -> u64 {
         self.failed[cause as usize]
     }
 
-    /// Number of workers that were lost in the given way.
-    pub fn workers_lost(&self, how: WorkerLoss) -> u64 {
-        self.lost[how as usize]
+    /// Number of workers that were lost in this way.
+    pub fn workers_lost(&self, loss: WorkerLoss) -> u64 {
+        self.lost[loss as usize]
     }
 }
--- a/lilacpass-lead/src/crash_suspicion.rs
+++ b/lilacpass-lead/src/crash_suspicion.rs
@@ -1,4 +1,4 @@
-//! Decides what the crash of a worker says about the tasks that ran there.
+//! Decides which of the tasks that ran on a crashed worker are suspected of having crashed it.
 //!
 //! Load pattern: a task crashes every worker that starts it. Other tasks on these workers see as many crashes as that
 //! task if they are started often enough.
@@ -19,20 +19,21 @@
     worker::{AssignedRun, Phase, RunKey, Worker},
 };
 
-/// Concurrent outages of other workers that had no suspect, from which on the tasks of a worker are cleared.
+/// Number of concurrent outages of other workers, all without a suspect, at which the tasks of a worker are cleared.
 const MIN_OUTAGES_WITHOUT_SUSPECT: usize = 2;
-/// Concurrent outages of other workers, with or without suspects, from which on an outage has no single obvious cause.
+/// Number of concurrent outages of other workers, with or without suspects, at which an outage has no single obvious
+/// cause.
 const MIN_CONCURRENT_OUTAGES: usize = 3;
-/// Concurrent outages that a new leader finds without knowing when they began, from which on crashing tasks are an
-/// unlikely explanation.
+/// Number of concurrent outages, found by a new leader that does not know when they began, at which crashing tasks are
+/// an unlikely explanation.
 pub(crate) const MIN_OUTAGES_AT_UNKNOWN_TIME: usize = 4;
-/// Concurrent outages in the worker's rack that point to the rack as the cause, if they affect half of it.
+/// Number of concurrent outages in the worker's rack at which the rack is the likely cause, if half of it is affected.
 const MIN_RACK_OUTAGES: usize = 2;
 /// If a worker's last response is older than this when its outage is noticed, the time of its crash is unknown.
 const MAX_RESPONSE_AGE_MS: u64 = 2_000;
 
 impl Leader {
-    /// Returns what the loss of a worker says about the task of each run that it may have started.
+    /// Returns the suspicion that follows from the loss of a worker for the task of each run that it may have started.
     pub(crate) fn suspicions(&self, worker: &Worker, now: Now) -> Vec<(RunKey, Suspicion)> {
         let circumstances = self.circumstances(worker, now);
         let suspects = self.suspects(worker);
@@ -53,12 +54,12 @@
                 Circumstances::Alone | Circumstances::UnknownTime => Suspicion::Present,
             }
         };
-        let ordered = worker.runs.iter().filter(|(_, assigned)| assigned.phase != Phase::Recording);
-        ordered.map(|(key, assigned)| (*key, suspicion(key, assigned))).collect()
+        let sent = worker.runs.iter().filter(|(_, assigned)| assigned.phase != Phase::Recording);
+        sent.map(|(key, assigned)| (*key, suspicion(key, assigned))).collect()
     }
 
-    /// The start units that may have crashed a worker, because it did not outlive their start. If some of them were
-    /// suspected before, only those.
+    /// Returns the start units that may have crashed a worker, because the worker is not known to have outlived their
+    /// start. If some of them were suspected before, returns only those.
     fn suspects(&self, worker: &Worker) -> BTreeSet<StartUnit> {
         let suspects = worker.runs.iter().filter(|(_, assigned)| worker.is_suspect(assigned));
         let suspects: BTreeSet<StartUnit> =
@@ -117,12 +118,12 @@
     }
 }
 
-/// What other outages say about the loss of a worker.
+/// How the loss of a worker relates to other outages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Circumstances {
-    /// Nothing points to another cause.
+    /// Nothing points to a cause other than one of the worker's tasks.
     Alone,
-    /// Nothing points to another cause, but the time of the loss is unknown.
+    /// Nothing points to a cause other than one of the worker's tasks, but the time of the loss is unknown.
     UnknownTime,
     /// Several other workers were lost at the same time, each for its own cause or all for a common one.
     Shared,
@@ -130,5 +131,6 @@
     Explained,
 }
 
-/// What is started together: a gang, named by its step, or a single task, named by its step and index.
+/// Tasks that are started together: a gang, identified by its step and `None`, or a single task, identified by its step
+/// and index.
 type StartUnit = (StepName, Option<u32>);
--- a/lilacpass-lead/src/event.rs
+++ b/lilacpass-lead/src/event.rs
@@ -130,10 +130,10 @@
     Malformed,
 }
 
-/// A running run in a worker's poll response.
+/// A run that is active on a worker, as listed in its poll response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReportedRun {
-    /// Task that is running.
+    /// Task of the run.
     pub task: TaskName,
     /// Number of the run within its task.
     pub run: u32,
--- a/lilacpass-lead/src/health.rs
+++ b/lilacpass-lead/src/health.rs
@@ -26,7 +26,7 @@
 pub struct WorkerHealth {
     /// Jobs that have failed or stalled on the worker since a run last succeeded there.
     pub failed_jobs: BTreeSet<JobKey>,
-    /// The worker gets no runs before this time, on the steady clock.
+    /// The worker gets no runs before this time, on the monotonic clock.
     pub quarantined_until_ms: u64,
     /// Number of quarantines since a run last succeeded there.
     quarantines: u32,
@@ -43,7 +43,8 @@
         now_ms < self.quarantined_until_ms
     }
 
-    /// Clears the evidence after a run has succeeded on the worker. A quarantine that has begun goes on.
+    /// Clears the evidence after a run has succeeded on the worker. A quarantine that has begun still lasts until its
+    /// end.
     pub fn record_success(&mut self) {
         *self = Self { quarantined_until_ms: self.quarantined_until_ms, ..Self::default() };
     }
--- a/lilacpass-lead/src/leader.rs
+++ b/lilacpass-lead/src/leader.rs
@@ -36,10 +36,10 @@
     pub job: Job,
     /// Whether the plan of the job is stored, so that its client may be told that it is accepted.
     pub is_plan_stored: bool,
-    /// The outcome that clients see: the last one that is stored.
+    /// The outcome that clients see: the latest one that is stored.
     pub visible_outcome: Outcome,
-    /// Workers on which its tasks have failed or stalled since one of its tasks was done, with the time of the last
-    /// failure on the steady clock.
+    /// Workers on which its tasks have failed or stalled since a task of the job last completed, each with the time of
+    /// the last failure on the monotonic clock.
     pub failed_on: BTreeMap<WorkerName, u64>,
     /// Tasks that are to have a copy, because their only run may be lost.
     pub wanted_copies: BTreeSet<TaskName>,
@@ -138,32 +138,33 @@
     pub(crate) least_urgent_priority: u32,
     /// Number of registered workers of each service, as of the last review.
     pub(crate) pool_sizes: HashMap<String, usize>,
-    /// Occurrences that are not due yet, with the time of day in ms at which each is due.
+    /// Jobs with an occurrence that is not due yet, each with the time at which that is due, in ms since the Unix
+    /// epoch.
     pub(crate) upcoming_occurrences: BTreeSet<(u64, JobKey)>,
     /// Share of the workers that advice allows, learned for each queue.
     pub(crate) allowed_shares: HashMap<String, f64>,
     /// Effects collected since the last call of [`Leader::finish`].
     pub(crate) effects: Vec<Effect>,
-    /// When the last call was sent by which the store confirmed the leadership, on the steady clock.
+    /// When the last call was sent by which the store confirmed the leadership, on the monotonic clock.
     pub(crate) leadership_confirmed_ms: u64,
-    /// When the last append was sent, on the steady clock.
+    /// When the last append was sent, on the monotonic clock.
     pub(crate) append_sent_ms: u64,
-    /// The latest time at which leases of a former leader expire on a worker that does not respond, on the steady
-    /// clock.
+    /// The latest time at which leases of a former leader expire on a worker that does not respond, on the
+    /// monotonic clock.
     inherited_leases_expire_by_ms: u64,
-    /// When ended jobs are next checked for removal, on the steady clock.
+    /// When ended jobs are next checked for removal, on the monotonic clock.
     next_cleanup_ms: u64,
-    /// When all runs are next checked, on the steady clock.
+    /// When all runs are next checked, on the monotonic clock.
     next_review_ms: u64,
-    /// When the last tick was processed, on the steady clock.
+    /// When the last tick was processed, on the monotonic clock.
     last_tick_ms: u64,
-    /// When the leader last resumed after a stall, on the steady clock.
+    /// When the leader last resumed after a stall, on the monotonic clock.
     pub(crate) last_stall_ms: Option<u64>,
 }
 
-/// Time between two ticks after which the leader counts as late itself. Ticks come every 50 ms.
+/// If more time than this passes between two ticks, the leader itself counts as late. Ticks come every 50 ms.
 const LATE_TICK_MS: u64 = 150;
-/// Time between two ticks after which the leader counts as stalled, so that it can't tell when events happened in
+/// If more time than this passes between two ticks, the leader counts as stalled: it can't tell when events happened in
 /// the meantime.
 const STALL_MS: u64 = 1_000;
 /// How often all runs are checked for lost and stalled ones. The check costs time for each run, and workers hardly
@@ -245,8 +246,8 @@
         }
         self.jobs.insert(key, JobEntry::new(job, true));
         self.reindex(key, now);
-        let ended = self.jobs.get(&key).is_some_and(|entry| entry.job.outcome != Outcome::Open);
-        if ended {
+        let has_ended = self.jobs.get(&key).is_some_and(|entry| entry.job.outcome != Outcome::Open);
+        if has_ended {
             self.stop_job(key, now);
         }
     }
@@ -314,8 +315,8 @@
         now.steady_ms.saturating_sub(self.leadership_confirmed_ms) < MAX_CONFIRMATION_AGE_MS
     }
 
-    /// Whether leases may be extended: only for `unconfirmed_lease_ms` after the last confirmation of the leadership, because a
-    /// successor that can't reach a worker waits that long before it starts the worker's runs elsewhere.
+    /// Whether leases may be extended: only for `unconfirmed_lease_ms` after the last confirmation of the leadership,
+    /// because a successor that can't reach a worker waits that long before it starts the worker's runs elsewhere.
     pub(crate) fn may_extend_leases(&self, now: Now) -> bool {
         now.steady_ms.saturating_sub(self.leadership_confirmed_ms)
             < self.options.unconfirmed_lease_ms
--- a/lilacpass-lead/src/lost_workers.rs
+++ b/lilacpass-lead/src/lost_workers.rs
@@ -1,7 +1,7 @@
 //! Workers that are lost because they crashed, left or stopped responding, and what follows for their runs.
 //!
 //! A worker that stops responding and then responds again has not crashed, even if its leases expired meanwhile. So a
-//! crash is counted only when another incarnation of the worker responds, or when the worker is registered no more.
+//! crash is counted only when another incarnation of the worker responds, or when the worker is no longer registered.
 
 use std::{cmp::Reverse, mem};
 
@@ -58,7 +58,7 @@
             self.count_crash(name, key, suspicion, now);
             has_explanation |= self.has_failed_by_crashes(key.0);
         }
-        // Runs whose start had not been sent.
+        // The remaining runs are those whose start had not been sent.
         self.expire_all_runs(name, now);
     }
 
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Logs that a worker crashed under a task that may be the cause, and records it for the job.
+    /// Logs that a worker crashed while it ran a task that may be the cause, and records it for the job.
     fn record_suspicion(&mut self, name: &WorkerName, (task, run): RunKey, suspicion: Suspicion) {
         if suspicion == Suspicion::Cleared {
             return;
@@ -114,27 +114,28 @@
         }
     }
 
-    /// Number of workers that crashed under a task and whose crashes have no better explanation.
+    /// Number of workers that crashed while they ran a task and whose crashes have no better explanation.
     fn crash_count(&self, task: TaskName) -> usize {
         self.jobs.get(&task.step.job).map_or(0, |entry| entry.job.crashed_workers(task).len())
     }
 
-    /// Whether the job of a task has failed because of the workers that crashed under that task.
+    /// Whether the job of a task has failed because of the workers that crashed while they ran that task.
     fn has_failed_by_crashes(&self, task: TaskName) -> bool {
         let failure = self.jobs.get(&task.step.job).and_then(|entry| entry.job.failure);
         failure.is_some_and(|failure| failure.cause == Cause::Crashes && failure.task == task)
     }
 
-    /// Clears the other tasks on the workers that crashed under the task `by`, which failed its job for these crashes.
-    fn explain_crashes(&mut self, by: TaskName) {
-        let job = self.jobs.get(&by.step.job).map(|entry| &entry.job);
-        let workers = job.map(|job| job.crashed_workers(by)).unwrap_or_default();
+    /// Clears the other tasks that ran on the workers that `culprit` has crashed. The job of `culprit` has failed
+    /// because of these crashes.
+    fn explain_crashes(&mut self, culprit: TaskName) {
+        let job = self.jobs.get(&culprit.step.job).map(|entry| &entry.job);
+        let workers = job.map(|job| job.crashed_workers(culprit)).unwrap_or_default();
         for &key in &self.crash_affected_jobs {
-            let Some(entry) = self.jobs.get_mut(&key).filter(|_| key != by.step.job) else {
+            let Some(entry) = self.jobs.get_mut(&key).filter(|_| key != culprit.step.job) else {
                 continue;
             };
             if entry.job.explain_crashes(&workers) {
-                log::info!(job:% = key, by:% = by; "crashes are explained by another task");
+                log::info!(job:% = key, by:% = culprit; "crashes are explained by another task");
                 self.outbox.pending.piggyback_states.insert(key);
             }
         }
@@ -155,7 +156,7 @@
 
     /// Presumes that a worker of a former leader is gone: it is not registered, and it does not respond. Its tasks
     /// count as present at a crash until the worker turns out to be alive. If more than a few workers are missing at
-    /// the same time, they have a common cause, and their tasks are cleared.
+    /// the same time (`missing` is their number), there is a common cause, and their tasks are cleared.
     pub(crate) fn presume_gone(&mut self, name: &WorkerName, missing: usize, now: Now) {
         log::info!(worker:% = name, missing; "worker is presumed gone");
         self.counters.count_lost_worker(WorkerLoss::LeasesExpired);
@@ -176,7 +177,7 @@
         self.forget_worker(name);
     }
 
-    /// Takes back the crashes counted for a worker that was presumed gone and is registered again: it had been cut off.
+    /// Retracts the crashes counted for a worker that was presumed gone and is registered again: it was unreachable.
     pub(crate) fn retract_presumed_crashes(&mut self, name: &WorkerName) {
         for task in self.presumed_gone.remove(name).unwrap_or_default() {
             let Some(entry) = self.jobs.get_mut(&task.step.job) else { continue };
@@ -201,8 +202,8 @@
     }
 
     /// Ends the runs on a worker whose leases have expired, so that they start elsewhere. The worker may not have been
-    /// noticed to be unresponsive yet. Whether it crashed or was cut off is known once it or another incarnation of it
-    /// responds.
+    /// noticed to be unresponsive yet. Whether it crashed or was unreachable is known once it or another incarnation of
+    /// it responds.
     pub(crate) fn expire_worker(&mut self, name: &WorkerName, now: Now) {
         let Some(worker) = self.workers.get(name) else { return };
         let may_have_crashed = !worker.draining;
--- a/lilacpass-lead/src/options.rs
+++ b/lilacpass-lead/src/options.rs
@@ -18,8 +18,8 @@
     /// Maximum time for which a worker may hold a poll until a run ends there. Half of the lease time that remains
     /// after the longest wait must be enough for the next poll.
     pub poll_wait_ms: u64,
-    /// Replaces `poll_wait_ms` while responses get lost. A lost response delays the news of a task's end by this time
-    /// plus `poll_answer_lossy_ms`.
+    /// Replaces `poll_wait_ms` while responses get lost. If a response is lost, the leader learns of a task's end later
+    /// by this time plus `poll_answer_lossy_ms`.
     pub poll_wait_lossy_ms: u64,
     /// Time that the response to a poll may take in addition to its wait. Healthy workers respond within 5 ms; a slow
     /// link or a busy instance adds tens of ms, a slow instance some hundreds.
@@ -45,8 +45,8 @@
     pub store_unresponsive_limit_ms: u64,
     /// Time for which the state of an ended job can still be queried.
     pub retention_ms: u64,
-    /// Time for which a live worker that reaches the store can be unregistered. Registrations that expired during an
-    /// outage are back within about 2 s of its end.
+    /// Maximum time for which a live worker that can reach the store is unregistered. Registrations that expired during
+    /// an outage are back within about 2 s of its end.
     pub unregistered_limit_ms: u64,
     /// Subtracted from the validity of a ticket to allow for the transmission of the start order.
     pub ticket_margin_ms: u64,
--- a/lilacpass-lead/src/orders.rs
+++ b/lilacpass-lead/src/orders.rs
@@ -222,6 +222,7 @@
     /// again.
     pub(crate) fn replace_stuck_runs(&mut self, now: Now) {
         let slowdowns = worker_slowdowns(&self.run_time_estimates());
+        // Worker, run, whether a copy may be started, and whether the run itself is stuck or slow.
         let mut lost_runs = Vec::new();
         for (name, worker) in &self.workers {
             let unresponsive = worker.failed_polls > 0;
@@ -283,7 +284,8 @@
         estimates
     }
 
-    /// Replaces a run by a copy if `may_copy`, otherwise by stopping it.
+    /// Replaces a run: starts a copy if `may_copy`, otherwise stops it. `is_lost` tells whether the run itself is stuck
+    /// or slow, rather than its worker unresponsive.
     fn replace_run(
         &mut self,
         name: &WorkerName,
--- a/lilacpass-lead/src/outages.rs
+++ b/lilacpass-lead/src/outages.rs
@@ -6,7 +6,7 @@
 
 /// Outages that begin within this time of each other may have a common cause.
 const MAX_CONCURRENT_GAP_MS: u64 = 1_000;
-/// How long an outage is kept. A worker that crashed is back within some seconds, and is then known to have crashed.
+/// How long an outage is kept. A crashed worker restarts within some seconds, and is then known to have crashed.
 const RETENTION_MS: u64 = 60_000;
 
 /// An outage: a worker that does not respond.
@@ -16,7 +16,7 @@
     pub worker: WorkerName,
     /// Rack of the worker; empty if unknown.
     pub rack: String,
-    /// When the outage began, on the steady clock.
+    /// When the outage began, on the monotonic clock.
     pub since_ms: u64,
     /// Whether the worker had outlived the start of all its runs, so that none of them is a suspect.
     pub has_no_suspect: bool,
--- a/lilacpass-lead/src/outbox.rs
+++ b/lilacpass-lead/src/outbox.rs
@@ -25,9 +25,9 @@
         /// Number of the run of the task.
         run: u32,
     },
-    /// Let a worker forget run ends that it lists.
+    /// Let a worker forget run ends that it has reported.
     ForgetEnds {
-        /// The worker that lists the ends.
+        /// The worker that has reported the ends.
         worker: WorkerName,
         /// Number of the last end that it may forget.
         up_to: u64,
@@ -66,8 +66,9 @@
     /// Changes that are not part of an append yet.
     pub pending: RecordBatch,
     in_flight: Option<RecordBatch>,
-    /// When the append in flight, or the one to be repeated, was first sent, on the steady clock.
+    /// When the append in flight, or the one to be repeated, was first sent, on the monotonic clock.
     first_sent_ms: Option<u64>,
+    /// No append is sent before this time, on the monotonic clock.
     next_append_ms: u64,
 }
 
@@ -113,7 +114,8 @@
         self.next_append_ms = now_ms + APPEND_RETRY_MS;
     }
 
-    /// How long the store has failed to store an append, in ms; 0 if there is none.
+    /// How long the current append has not been stored, in ms, including repetitions after refusals; 0 if there is
+    /// none.
     pub fn stuck_ms(&self, now_ms: u64) -> u64 {
         self.first_sent_ms.map_or(0, |sent_ms| now_ms.saturating_sub(sent_ms))
     }
--- a/lilacpass-lead/src/place.rs
+++ b/lilacpass-lead/src/place.rs
@@ -75,7 +75,7 @@
 ) -> Option<String> {
     let need = need(step);
     let max = u64::from(step.count);
-    // There are only few data centres, so searching a list is faster than a map.
+    // There are only a few data centres, so searching a list is faster than a map.
     let mut capacities: Vec<(&str, u64)> = Vec::new();
     for worker in workers {
         let fitting = count_fitting(&worker.free_capacity(), &need, max);
--- a/lilacpass-lead/src/polling.rs
+++ b/lilacpass-lead/src/polling.rs
@@ -60,8 +60,8 @@
                     log::info!(worker:% = name, error:? = err; "worker does not respond");
                 }
                 if !extra {
-                    // Polls again at once after the first failure: perhaps only the response was lost, and the ends
-                    // that it listed are not known before the next one.
+                    // Polls again at once after the first failure: perhaps only the response was lost, and the leader
+                    // learns of the ends that it listed only from the next one.
                     let pauses = u64::from(worker.failed_polls - 1).min(MAX_RETRY_PAUSES);
                     worker.poll = PollState::Due { at_ms: now.steady_ms + retry_pause_ms * pauses };
                 }
@@ -138,8 +138,8 @@
     /// worker is still polled now and then, so that the leader learns of other ends while the store is slow.
     fn delay_poll_until_ends_stored(&mut self, name: &WorkerName, now: Now) {
         let per_worker_ms = self.workers.len() as u64 * 1_000 / MAX_POLLS_PER_SECOND_WHILE_STORING;
-        let longest_ms = self.options.poll_unrecorded_max_ms;
-        let pause_ms = per_worker_ms.clamp(self.options.poll_unrecorded_min_ms, longest_ms);
+        let max_pause_ms = self.options.poll_unrecorded_max_ms;
+        let pause_ms = per_worker_ms.clamp(self.options.poll_unrecorded_min_ms, max_pause_ms);
         let Some(worker) = self.workers.get_mut(name) else { return };
         if worker.last_seen_end > worker.last_stored_end && worker.poll != PollState::InFlight {
             worker.poll = PollState::Due { at_ms: now.steady_ms + pause_ms };
@@ -194,8 +194,11 @@
         if let Some(entry) = self.jobs.get_mut(&job) {
             entry.failed_on.insert(name.clone(), now.steady_ms);
         }
-        let quarantined =
-            self.workers.values().filter(|w| w.health.is_quarantined(now.steady_ms)).count();
+        let quarantined = self
+            .workers
+            .values()
+            .filter(|worker| worker.health.is_quarantined(now.steady_ms))
+            .count();
         let may_quarantine =
             (quarantined + 1) * health::MIN_WORKERS_PER_QUARANTINE <= self.workers.len();
         let jobs = &self.jobs;
@@ -349,8 +352,8 @@
         gone.iter().for_each(|name| self.forget_worker(name));
     }
 
-    /// Presumes that workers are gone to which a former leader assigned runs, that are not registered, and that have
-    /// not responded to this leader, once this has lasted for the time in which a live worker registers again.
+    /// Presumes that a worker of a former leader is gone if it is not registered and has not responded to this leader
+    /// for the time in which a live worker would have registered again.
     ///
     /// Such a worker can be alive only if a former leader still extends its leases and both are cut off from this
     /// leader and from the store. But then other workers of its data centre would not respond to this leader either,
@@ -396,8 +399,8 @@
         } else {
             (options.poll_wait_ms, options.poll_answer_ms)
         };
-        let due: Vec<WorkerName> = self.unpolled_workers.iter().cloned().collect();
-        for name in due {
+        let unpolled: Vec<WorkerName> = self.unpolled_workers.iter().cloned().collect();
+        for name in unpolled {
             let Some(worker) = self.workers.get_mut(&name) else {
                 self.unpolled_workers.remove(&name);
                 continue;
--- a/lilacpass-lead/src/preempt.rs
+++ b/lilacpass-lead/src/preempt.rs
@@ -66,19 +66,19 @@
         let need = place::need(plan);
         let mut offers = self.offers(name, plan, &rank, waiting, now);
         offers.sort_by_key(|offer| offer.stops.len());
-        let mut left = waiting;
+        let mut unplaced = waiting;
         let mut shares: Vec<Share> = Vec::new();
         let mut stops = Vec::new();
         for offer in offers {
-            if left == 0 {
+            if unplaced == 0 {
                 break;
             }
-            let tasks = offer.tasks.min(left);
-            left -= tasks;
+            let tasks = offer.tasks.min(unplaced);
+            unplaced -= tasks;
             shares.push((offer.worker.clone(), need.times(tasks)));
             stops.extend(offer.stops.into_iter().map(|(key, _)| (offer.worker.clone(), key)));
         }
-        if stops.is_empty() || plan.gang && left > 0 {
+        if stops.is_empty() || plan.gang && unplaced > 0 {
             return;
         }
         self.reservations.set(rank, shares, now.steady_ms + RESERVATION_MS);
@@ -140,15 +140,15 @@
     fn may_preempt(&self, key: RunKey, assigned: &AssignedRun, priority: u32) -> bool {
         let Some(entry) = self.jobs.get(&key.0.step.job) else { return false };
         let plan = entry.job.step_plan(key.0.step.step);
-        let stops = entry.preemptions.get(&key.0).copied().unwrap_or(0);
+        let preemptions = entry.preemptions.get(&key.0).copied().unwrap_or(0);
         entry.job.queue.priority > priority
             && plan.checkpointing
             && !plan.gang
             && !plan.lasting
             && !plan.fills
-            && stops < MAX_PREEMPTIONS_PER_TASK
+            && preemptions < MAX_PREEMPTIONS_PER_TASK
             && matches!(assigned.phase, Phase::Running { .. })
-            && !assigned.progress.is_some_and(|seen| seen.is_nearly_done())
+            && !assigned.progress.is_some_and(|progress| progress.is_nearly_done())
     }
 }
 
@@ -178,7 +178,7 @@
         tasks = fits(&freed);
         stops.push(victim);
     }
-    // Keep only the victims that are needed. Some may free too little of the resource that is short.
+    // Keep only the victims that are needed. Stopping some of them may not free the resource that is short.
     let mut kept = Vec::new();
     for victim in stops {
         let without = freed.minus(&victim.1);
--- a/lilacpass-lead/src/pressure.rs
+++ b/lilacpass-lead/src/pressure.rs
@@ -26,11 +26,13 @@
 /// Minimum and maximum number of steps that a round may examine. The minimum leaves at least one step for each part of
 /// a round (see `rounds.rs`).
 const STEPS_PER_ROUND_BOUNDS: (u64, u64) = (8, 4_096);
-/// New jobs are refused while more changed steps are unexamined than this many rounds may examine...
+/// New jobs are refused while the number of unexamined changed steps is at least the greatest of three limits. The
+/// first limit is the number of steps that this many rounds may examine.
 const MAX_BACKLOG_ROUNDS: u64 = 2;
-/// ... and than the leader has recently examined in this time in ms. Work beyond that would be accepted only to wait.
+/// The second limit is the number of steps that the leader has recently examined in this time in ms. Work beyond that
+/// would be accepted only to wait.
 const MAX_BACKLOG_MS: u64 = 250;
-/// Number of changed steps that is never too many, because a single job may have some tens of steps.
+/// The third limit is this number of changed steps, because a single job may have some tens of steps.
 const MIN_BACKLOG_LIMIT: u64 = 64;
 /// Weight of a tick in the moving average of examined steps per second, which covers about half a second.
 const RATE_WEIGHT: f64 = 0.1;
@@ -49,7 +51,7 @@
     /// The leader keeps up.
     #[default]
     KeepsUp,
-    /// The leader is behind: each round examines few steps and a scan examines the others in turn.
+    /// The leader is behind: each round examines few steps, and a scan over several rounds examines the others.
     Behind,
     /// The leader is behind and also refuses new jobs.
     Refuses,
@@ -69,9 +71,13 @@
 /// The measured delay of the leader and the limits that follow from it.
 #[derive(Debug)]
 pub struct Pressure {
+    /// Delays of the last ticks, oldest first.
     delays_ms: [u64; MEAN_TICKS],
+    /// Time of the last tick on the monotonic clock.
     last_tick_ms: u64,
+    /// Duration of a scan of all waiting steps.
     scan_ms: u64,
+    /// Number of steps that a round may examine.
     steps_per_round: u64,
     /// Number of steps examined until the last tick.
     steps_examined: u64,
@@ -119,7 +125,7 @@
             self.last_behind_ms = Some(now.steady_ms);
         }
         let is_refusing = self.is_refusing;
-        let exceeds = |ms, (from_ms, below_ms)| ms >= if is_refusing { below_ms } else { from_ms };
+        let exceeds = |ms, (start_ms, stop_ms)| ms >= if is_refusing { stop_ms } else { start_ms };
         self.is_refusing =
             exceeds(self.min_delay_ms(), REFUSE_DELAY_MS) || exceeds(scan_ms, REFUSE_SCAN_MS);
         self.update_level(now)
@@ -206,7 +212,7 @@
 
     /// Returns the number of unexamined changed steps from which new jobs are refused.
     fn max_backlog(&self) -> u64 {
-        let recent = self.steps_per_second * MAX_BACKLOG_MS as f64 / 1_000.0;
-        (self.steps_per_round * MAX_BACKLOG_ROUNDS).max(recent as u64).max(MIN_BACKLOG_LIMIT)
+        let recent_steps = self.steps_per_second * MAX_BACKLOG_MS as f64 / 1_000.0;
+        (self.steps_per_round * MAX_BACKLOG_ROUNDS).max(recent_steps as u64).max(MIN_BACKLOG_LIMIT)
     }
 }
--- a/lilacpass-lead/src/progress.rs
+++ b/lilacpass-lead/src/progress.rs
@@ -44,9 +44,11 @@
 /// The progress that a worker has reported for a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Progress {
+    /// When progress was first reported, on the monotonic clock.
     first_seen_ms: u64,
     first_percent: u32,
     percent: u32,
+    /// When the reported progress last changed, on the monotonic clock.
     changed_ms: u64,
 }
 
--- a/lilacpass-lead/src/recording.rs
+++ b/lilacpass-lead/src/recording.rs
@@ -52,34 +52,35 @@
         if !self.outbox.is_due(now.steady_ms) {
             return;
         }
-        let changes = self.outbox.start_append(now.steady_ms);
+        let batch = self.outbox.start_append(now.steady_ms);
         let mut records = Vec::new();
-        for key in &changes.plans {
+        for key in &batch.plans {
             if let Some(entry) = self.jobs.get(key) {
                 let value = record::encode_plan(&entry.job);
                 records.push(Record { key: record::plan_key(*key), value });
             }
         }
-        for key in &changes.states {
+        for key in &batch.states {
             if let Some(entry) = self.jobs.get(key) {
                 let value = record::encode_state(&entry.job);
                 records.push(Record { key: record::state_key(*key), value });
             }
         }
-        for key in &changes.deletions {
+        for key in &batch.deletions {
             records.push(Record { key: record::plan_key(*key), value: Vec::new() });
             records.push(Record { key: record::state_key(*key), value: Vec::new() });
         }
         self.append_sent_ms = now.steady_ms;
         if records.is_empty() {
             // Only actions are pending, and the changes that they waited for are stored already.
-            self.on_appended_nothing(now);
+            self.run_actions_without_append(now);
             return;
         }
         self.effects.push(Effect::Append(records));
     }
 
-    fn on_appended_nothing(&mut self, now: Now) {
+    /// Carries out the pending actions without an append. This does not confirm the leadership.
+    fn run_actions_without_append(&mut self, now: Now) {
         let confirmed_ms = self.leadership_confirmed_ms;
         self.on_appended(now);
         self.leadership_confirmed_ms = confirmed_ms;
--- a/lilacpass-lead/src/requests.rs
+++ b/lilacpass-lead/src/requests.rs
@@ -112,7 +112,7 @@
         self.reply(request_id, Response::Refused { reason, retry_after_ms });
     }
 
-    /// Returns whether the store has stored nothing for so long that new jobs are refused.
+    /// Returns whether an append has not been stored for so long that new jobs are refused.
     fn is_store_stuck(&self, now: Now) -> bool {
         let options = &self.options;
         let limit_ms = if self.outbox.was_refused() {
@@ -149,7 +149,8 @@
     /// Returns the reason if no worker of the queue's service is large enough for some step. Returns `None` while no
     /// worker is known. A worker's largest known capacity counts, because a reduced capacity may grow again.
     fn find_impossible_step(&self, plan: &v1::WorkPlan, queue: &v1::QueuePolicy) -> Option<String> {
-        let is_usable = |w: &&Worker| w.registered && w.registration.service == queue.service;
+        let is_usable =
+            |worker: &&Worker| worker.registered && worker.registration.service == queue.service;
         let workers = self.workers.values().filter(is_usable);
         workers.clone().next()?;
         let number = plan.steps.iter().position(|step| {
--- a/lilacpass-lead/src/reservations.rs
+++ b/lilacpass-lead/src/reservations.rs
@@ -3,8 +3,8 @@
 //! Load pattern: a full pool in which capacity becomes free in small parts. A task that needs several parts together
 //! would never start, because each part is immediately taken by a small task.
 //!
-//! A reservation excludes the steps that come later in scheduling order. An advance reservation, made for a step that
-//! has waited for long, also excludes all other steps of the same priority. Neither delays a more urgent step.
+//! Steps that come later in scheduling order can't use reserved capacity. An advance reservation, made for a step
+//! that has waited for long, also excludes all other steps of the same priority. Neither delays a more urgent step.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,12 +13,13 @@
 
 use crate::rank::Rank;
 
-/// Capacity reserved on one worker.
+/// A worker, and the capacity that is reserved on it.
 pub type Share = (WorkerName, Resources);
 
 /// The reservations of all steps.
 #[derive(Debug, Default)]
 pub struct Reservations {
+    /// The capacity reserved on each worker, with the rank from which later steps can't use it.
     by_worker: BTreeMap<WorkerName, Vec<(Rank, Resources)>>,
     by_step: HashMap<StepName, Reservation>,
 }
@@ -30,7 +31,7 @@
     /// Expiry in ms on the monotonic clock.
     until_ms: u64,
     /// Service of an advance reservation; `None` if the capacity is already free or is being freed by preemption.
-    advance_in: Option<String>,
+    advance_service: Option<String>,
 }
 
 impl Reservations {
@@ -44,7 +45,7 @@
     fn reserve(&mut self, rank: Rank, effective_rank: Rank, shares: Vec<Share>, until_ms: u64) {
         self.release(rank.step);
         let workers = shares.iter().map(|(worker, _)| worker.clone()).collect();
-        self.by_step.insert(rank.step, Reservation { workers, until_ms, advance_in: None });
+        self.by_step.insert(rank.step, Reservation { workers, until_ms, advance_service: None });
         for (worker, capacity) in shares {
             self.by_worker.entry(worker).or_default().push((effective_rank, capacity));
         }
@@ -52,8 +53,9 @@
 
     /// Returns the steps that have an advance reservation, sorted by name.
     pub fn steps_with_advance(&self) -> Vec<StepName> {
-        let ahead = self.by_step.iter().filter(|(_, reservation)| reservation.advance_in.is_some());
-        let mut steps: Vec<StepName> = ahead.map(|(step, _)| *step).collect();
+        let with_advance =
+            self.by_step.iter().filter(|(_, reservation)| reservation.advance_service.is_some());
+        let mut steps: Vec<StepName> = with_advance.map(|(step, _)| *step).collect();
         steps.sort_unstable();
         steps
     }
@@ -63,14 +65,14 @@
     pub fn set_advance(&mut self, rank: Rank, shares: Vec<Share>, until_ms: u64, service: &str) {
         self.reserve(rank, rank.first_of_priority(), shares, until_ms);
         if let Some(reservation) = self.by_step.get_mut(&rank.step) {
-            reservation.advance_in = Some(service.to_owned());
+            reservation.advance_service = Some(service.to_owned());
         }
     }
 
     /// Returns the number of steps that have an advance reservation on workers of a service.
     pub fn advance_count(&self, service: &str) -> usize {
         let is_in_pool =
-            |reservation: &&Reservation| reservation.advance_in.as_deref() == Some(service);
+            |reservation: &&Reservation| reservation.advance_service.as_deref() == Some(service);
         self.by_step.values().filter(is_in_pool).count()
     }
 
--- a/lilacpass-lead/src/response_loss.rs
+++ b/lilacpass-lead/src/response_loss.rs
@@ -8,8 +8,8 @@
 
 /// Time for which a lost response counts.
 const WINDOW_MS: u64 = 2_000;
-/// Lost responses within that time from which on shorter polls are worth their cost. A single worker that restarts or
-/// freezes accounts for one or two.
+/// Number of lost responses within that time at which shorter polls become worth their cost. A single worker that
+/// restarts or freezes accounts for one or two.
 const MIN_LOST_RESPONSES: usize = 4;
 
 /// Recent losses of responses.
--- a/lilacpass-lead/src/rounds.rs
+++ b/lilacpass-lead/src/rounds.rs
@@ -1,4 +1,4 @@
-//! Scheduling rounds that may not examine all due steps: which steps they examine.
+//! Selects the steps that a scheduling round examines if its limit does not allow all that are due.
 
 use lilacpass_jobs::StepName;
 
@@ -6,9 +6,10 @@
     event::Now, leader::Leader, pending_changes::RoundScope, rank::Rank, schedule::WorkerScope,
 };
 
-/// One part in this many of a round is for changed steps in scheduling order, and one part for the scan.
+/// The number of steps that a round may examine is divided by this to get the limit for changed steps in scheduling
+/// order, and the limit for the scan.
 const CHANGED_STEPS_DIVISOR: u64 = 2;
-/// One part in this many of a round is for requesting advice about those changed steps.
+/// The same number is divided by this to get the limit of requests for advice for those changed steps.
 const CHANGED_ADVICE_DIVISOR: u64 = 4;
 
 impl Leader {
--- a/lilacpass-lead/src/schedule.rs
+++ b/lilacpass-lead/src/schedule.rs
@@ -90,8 +90,8 @@
             return first;
         }
         let may_call = |queue: &str, base_ms| self.lanes.may_call(queue, base_ms);
-        let asking = self.advice_queue.next_after(last, may_call);
-        first.into_iter().chain(asking).min()
+        let next_request = self.advice_queue.next_after(last, may_call);
+        first.into_iter().chain(next_request).min()
     }
 
     /// Places waiting tasks of a step. Only workers in `subset` are considered if it is given.
@@ -177,7 +177,8 @@
     }
 
     /// Chooses the home data centre of a job, in which all its tasks should run, unless it has one. Long-running tasks
-    /// are spread instead, because each of them that is lost counts by itself.
+    /// are spread instead, because their job does not wait for a last task to complete: each one that is lost counts by
+    /// itself.
     pub(crate) fn choose_home(&mut self, name: StepName, plan: &v1::WorkStep, now: Now) {
         let Some(entry) = self.jobs.get(&name.job) else { return };
         if entry.home_data_centre.is_some() || plan.lasting || !self.options.uses(Mechanism::Home) {
@@ -213,7 +214,7 @@
         let home = entry.home_for(plan);
         let need = place::need(plan);
         let Some(rank) = self.waiting.rank_of(name) else { return Vec::new() };
-        let is_host = |worker: &&Worker| {
+        let can_host = |worker: &&Worker| {
             need.fits(&self.free_capacity_for(&rank, worker))
                 && self.could_start(worker, name, plan, now)
         };
@@ -225,7 +226,7 @@
         };
         workers
             .into_iter()
-            .filter(is_host)
+            .filter(can_host)
             .map(|worker| Host {
                 name: worker.registration.name.clone(),
                 free_capacity: self.free_capacity_for(&rank, worker),
@@ -251,8 +252,9 @@
         if entry.job.queue.advice.is_some() {
             let Some(advice) = self.advice.get(&name) else { return Vec::new() };
             let ticketed = advice.workers_with_tickets(now.steady_ms);
-            let within = ticketed.filter(|name| subset.is_none_or(|subset| subset.contains(*name)));
-            within.filter_map(|name| self.workers.get(name)).collect()
+            let in_subset =
+                ticketed.filter(|name| subset.is_none_or(|subset| subset.contains(*name)));
+            in_subset.filter_map(|name| self.workers.get(name)).collect()
         } else if let Some(subset) = subset {
             subset.iter().filter_map(|name| self.workers.get(name)).collect()
         } else {
@@ -331,8 +333,8 @@
         if plan.max_per_worker == 0 {
             return u64::MAX;
         }
-        let there = worker.runs.keys().filter(|(task, _)| task.step == name).count() as u64;
-        u64::from(plan.max_per_worker).saturating_sub(there)
+        let running = worker.runs.keys().filter(|(task, _)| task.step == name).count() as u64;
+        u64::from(plan.max_per_worker).saturating_sub(running)
     }
 
     /// Begins a run of a task on a worker.
--- a/lilacpass-lead/src/trials.rs
+++ b/lilacpass-lead/src/trials.rs
@@ -17,12 +17,12 @@
     worker::RunKey,
 };
 
-/// A run that has worked for this long clears its task of earlier crashes.
+/// A run that has been running for this long clears its task of earlier crashes.
 const CLEARED_AFTER_MS: u64 = 20_000;
 
 impl Leader {
-    /// Whether the next start of a task is a trial: workers have crashed under it, or its worker has not responded
-    /// since the start of its run.
+    /// Whether the next start of a task is a trial: workers have crashed while they ran it, or its worker has not
+    /// responded since the start of its run.
     pub(crate) fn is_on_trial(&self, entry: &JobEntry, name: TaskName) -> bool {
         let runs = entry.job.task(name).map(|task| task.runs.as_slice()).unwrap_or_default();
         let is_lost_after_start = |run: &Run| {
@@ -55,9 +55,9 @@
                 let has_crashed = entry.crashed_addresses.contains(&worker.registration.address);
                 let crash_affected =
                     worker.runs.keys().filter(|(task, _)| self.has_crashed_worker(*task)).count();
-                let rank =
+                let sort_key =
                     (has_crashed, unproven, crash_affected, worker.runs.len(), Reverse(host.score));
-                (rank, &host.name)
+                (sort_key, &host.name)
             })
             .collect();
         candidates.sort_unstable();
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Clears the task of a running run of earlier crashes if the run has worked for long enough.
+    /// Clears the task of a running run of earlier crashes if the run has lasted for long enough.
     pub(crate) fn clear_proven_task(&mut self, key: RunKey, started_ms: Option<u64>, now: Now) {
         if started_ms.is_none_or(|ms| now.steady_ms < ms + CLEARED_AFTER_MS) {
             return;
--- a/lilacpass-lead/src/waiting.rs
+++ b/lilacpass-lead/src/waiting.rs
@@ -43,7 +43,7 @@
 }
 
 impl StepKind {
-    /// Returns the kind of a step. `is_advised` tells whether its queue needs advice.
+    /// Returns the kind of a step. `is_advised` is whether its queue needs advice.
     pub fn of(plan: &v1::WorkStep, is_advised: bool) -> Self {
         if plan.gang || plan.one_rack || plan.target_ms > 0 {
             Self::Combined
@@ -132,9 +132,9 @@
 
     /// Returns the steps of which no task has been assigned since `since_ms` or longer, longest waiting first.
     pub fn waiting_since(&self, since_ms: u64) -> Vec<StepName> {
-        let long = self.steps.iter().filter(|(_, entry)| entry.since_ms <= since_ms);
+        let long_waiting = self.steps.iter().filter(|(_, entry)| entry.since_ms <= since_ms);
         let mut steps: Vec<(u64, StepName)> =
-            long.map(|(step, entry)| (entry.since_ms, *step)).collect();
+            long_waiting.map(|(step, entry)| (entry.since_ms, *step)).collect();
         steps.sort_unstable();
         steps.into_iter().map(|(_, step)| step).collect()
     }
--- a/lilacpass-lead/src/worker.rs
+++ b/lilacpass-lead/src/worker.rs
@@ -20,19 +20,19 @@
     Ordered,
     /// The start got no response, or a former leader sent it: the run may be running, or may still start.
     Uncertain {
-        /// When the run became uncertain, on the steady clock.
+        /// When the run became uncertain, on the monotonic clock.
         since_ms: u64,
     },
     /// The worker has confirmed that the run started.
     Running {
-        /// When the leader learned of it, on the steady clock.
+        /// When the leader learned of it, on the monotonic clock.
         since_ms: u64,
     },
     /// The leader has asked the worker to stop the run.
     Stopping {
-        /// When the stop was last sent, on the steady clock.
+        /// When the stop was last sent, on the monotonic clock.
         sent_ms: u64,
-        /// When the worker confirmed the stop, on the steady clock. From then on the run can't start any more.
+        /// When the worker confirmed the stop, on the monotonic clock. From then on the run can't start any more.
         confirmed_ms: Option<u64>,
     },
 }
@@ -46,7 +46,7 @@
     pub need: Resources,
     /// Progress that the worker has reported, if any.
     pub progress: Option<Progress>,
-    /// When a response of the worker first showed that the run had started, on the steady clock.
+    /// When a response of the worker first showed that the run had started, on the monotonic clock.
     pub started_ms: Option<u64>,
     /// Whether a former leader assigned the run and its task is not suspected of crashing workers.
     pub is_inherited: bool,
@@ -80,7 +80,7 @@
 pub enum PollState {
     /// No poll is in flight.
     Due {
-        /// When the next poll is due, on the steady clock.
+        /// When the next poll is due, on the monotonic clock.
         at_ms: u64,
     },
     /// A poll has been sent, and no response has arrived yet.
@@ -102,9 +102,9 @@
     pub accepted_epoch: bool,
     /// Whether it drains, according to its registration or to its own response.
     pub draining: bool,
-    /// Its clock minus the leader's in ms, and when the leader read it, on the steady clock.
+    /// Its clock minus the leader's in ms, and when the leader read it, on the monotonic clock.
     clock: Option<(i64, u64)>,
-    /// When all leases on it have certainly expired unless another one is granted, on the steady clock.
+    /// When all leases on it have certainly expired unless another one is granted, on the monotonic clock.
     pub leases_expire_by_ms: u64,
     /// Runs assigned to it that are not known to have ended.
     pub runs: BTreeMap<RunKey, AssignedRun>,
@@ -120,19 +120,19 @@
     pub extra_poll_in_flight: bool,
     /// Polls that have failed since the last successful one.
     pub failed_polls: u32,
-    /// When the first of the failed polls failed, on the steady clock.
+    /// When the first of the failed polls failed, on the monotonic clock.
     pub unresponsive_since_ms: Option<u64>,
-    /// No run is started on it before this time, on the steady clock.
+    /// No run is started on it before this time, on the monotonic clock.
     pub starts_paused_until_ms: u64,
-    /// No run is started on it before this time because its data centre seems to be unreachable, on the steady clock.
-    /// Cleared early once it answers a poll.
+    /// No run is started on it before this time because its data centre seems to be unreachable, on the monotonic
+    /// clock. Cleared early once it answers a poll.
     pub suspected_until_ms: u64,
     /// Evidence of failures on it, for its quarantine.
     pub health: health::WorkerHealth,
     /// Since when it has been unregistered and has not accepted the leader's epoch while other workers of its data
-    /// centre respond, on the steady clock.
+    /// centre respond, on the monotonic clock.
     pub missing_since_ms: Option<u64>,
-    /// When it last answered any call, on the steady clock; 0 if never.
+    /// When it last answered any call, on the monotonic clock; 0 if never.
     pub last_response_ms: u64,
     /// A run that may crash the worker. Nothing else is started on it until that run has proved harmless.
     pub trial: Option<RunKey>,
@@ -143,7 +143,7 @@
     pub expired_runs: Vec<(RunKey, Suspicion)>,
 }
 
-/// A run has not crashed its worker by starting if the worker still answers this long after the start.
+/// A run is proved harmless if its worker still responds this long after the start of the run.
 const PROVEN_AFTER_MS: u64 = 300;
 
 impl Worker {
@@ -260,7 +260,7 @@
         self.last_response_ms > 0
     }
 
-    /// Whether the worker may still crash from the start of the run: it is not known to have outlived the start by
+    /// Whether the start of the run may still crash the worker: it is not known to have outlived the start by
     /// `PROVEN_AFTER_MS`.
     pub fn is_unproven(&self, assigned: &AssignedRun) -> bool {
         assigned.started_ms.is_none_or(|ms| self.last_response_ms < ms + PROVEN_AFTER_MS)
@@ -277,8 +277,8 @@
         self.registration.capacity.minus(&self.used)
     }
 
-    /// Capacity that would be free once runs that occupy `freed` have ended. This is nothing if the worker has shrunk
-    /// below what would still run there.
+    /// Capacity that would be free once runs that occupy `freed` have ended: zero if the worker has shrunk below what
+    /// would still run there.
     pub fn free_capacity_after(&self, freed: &Resources) -> Resources {
         self.registration.capacity.minus(&self.used.minus(freed))
     }
--- a/lilacpass-lead/tests/capacity.rs
+++ b/lilacpass-lead/tests/capacity.rs
@@ -25,7 +25,8 @@
     world.store.job(JobKey(key)).map(|job| job.outcome)
 }
 
-/// A start must not be sent if it fitted its worker when it was assigned, waited for the store, and fits no more.
+/// A start must not be sent if its worker had enough capacity when the run was assigned, but has too little once the
+/// assignment is stored.
 #[test]
 fn a_start_that_waited_for_the_store_does_not_go_to_a_worker_that_has_shrunk() {
     let mut world = World::new(3, 1, FULL);
@@ -71,7 +72,7 @@
     assert_eq!(outcome(&world, 2), Some(Outcome::Completed));
 }
 
-/// Runs must be assigned by the present capacity of a worker, and again after it has grown.
+/// Runs must be assigned by the present capacity of a worker, which may shrink and grow.
 #[test]
 fn starts_follow_the_capacity_of_workers_that_shrink_and_grow() {
     for seed in 1..20 {
--- a/lilacpass-lead/tests/capacity_index.rs
+++ b/lilacpass-lead/tests/capacity_index.rs
@@ -11,7 +11,7 @@
     worker::{Phase, RunKey, Worker},
 };
 
-const CENTRES: [&str; 3] = ["north", "south", "west"];
+const DATA_CENTRES: [&str; 3] = ["north", "south", "west"];
 const WORKERS: u64 = 40;
 const CHANGES: u64 = 2_000;
 
@@ -19,7 +19,7 @@
     let entry = Registration {
         name: WorkerName::from(format!("w-{number:02}").as_str()),
         address: String::new(),
-        data_centre: CENTRES[number as usize % CENTRES.len()].to_owned(),
+        data_centre: DATA_CENTRES[number as usize % DATA_CENTRES.len()].to_owned(),
         service: format!("service-{}", number % 2),
         capacity: Resources::new(4_000 * (1 + number % 3), 2_000, 4, 0),
         labels: Vec::new(),
--- a/lilacpass-lead/tests/cell_regressions.rs
+++ b/lilacpass-lead/tests/cell_regressions.rs
@@ -18,9 +18,9 @@
     world.store.job(JobKey(key)).map(|job| job.outcome)
 }
 
-/// A lasting task stopped, and was not restarted for over ten seconds. Its worker had left while the leader crashed;
-/// the successor knew the worker from stored runs only, could not poll it, and waited for the longest lease that the
-/// former leader could have granted.
+/// Failure: a lasting task stopped, and was not restarted for over ten seconds. Its worker had left while the leader
+/// crashed; the successor knew the worker from stored runs only, could not poll it, and waited for the longest lease
+/// that the former leader could have granted.
 #[test]
 fn a_task_on_a_worker_that_left_during_a_take_over_starts_again_soon() {
     let mut world = four_workers(3);
@@ -37,8 +37,8 @@
     assert_eq!(running, 1, "the task runs again four seconds after the take-over");
 }
 
-/// A check never ended: its worker became unreachable, and each poll of it counted as an extension of the lease
-/// although none was answered.
+/// Failure: a job never ended. Its worker became unreachable, and each poll of the worker counted as an extension of
+/// the lease although none was answered.
 #[test]
 fn work_on_an_unresponsive_worker_starts_again_when_its_lease_has_expired() {
     let mut world = four_workers(3);
@@ -48,7 +48,7 @@
     world.workers[host].unreachable = true;
     world.run(8_000);
     let elsewhere = world.workers.iter().filter(|w| !w.unreachable && !w.runs.is_empty()).count();
-    assert_eq!(elsewhere, 1, "it runs elsewhere eight seconds later");
+    assert_eq!(elsewhere, 1, "the task runs elsewhere eight seconds later");
 }
 
 /// Here no worker of the data centre responds, so the former leader and the worker may be cut off together while the
@@ -66,9 +66,9 @@
     assert_eq!(job.tasks().map(|task| task.last_run).max(), Some(1), "no second run has begun");
 }
 
-/// Lasting tasks ran twice after a data centre was cut off during an outage of the store: their workers were alive,
-/// their registrations had expired in the outage, and the new leader presumed them gone because its own data centre
-/// responded.
+/// Failure: lasting tasks ran twice after a data centre was cut off during an outage of the store: their workers were
+/// alive, their registrations had expired in the outage, and the new leader presumed them gone because its own data
+/// centre responded.
 #[test]
 fn a_worker_is_not_presumed_gone_while_its_data_centre_is_unresponsive() {
     let mut world = four_workers(3);
@@ -90,8 +90,8 @@
     assert_eq!(job.tasks().map(|task| task.last_run).max(), Some(1), "no second run has begun");
 }
 
-/// An audit that was done ran again. Its leader had been suspended for longer than the lease, and afterwards counted
-/// the run as expired before it read that the run had been done.
+/// Failure: a completed task ran again. Its leader had been suspended for longer than the lease, and afterwards counted
+/// the run as expired before it learned that the run had completed.
 #[test]
 fn work_that_was_done_before_its_lease_expired_is_not_done_again() {
     let mut world = four_workers(5);
@@ -103,8 +103,9 @@
     assert_eq!(outcome(&world, 1), Some(Outcome::Completed));
 }
 
-/// While the store refused everything, clients waited for their jobs until they gave up, without knowing whether the
-/// jobs would run. Since the store reports that it has stored nothing, the leader can refuse such jobs at once.
+/// Failure: while the store refused everything, clients waited for their jobs until they gave up, without knowing
+/// whether the jobs would run. Since the store reports that it has stored nothing, the leader can refuse such jobs at
+/// once.
 #[test]
 fn jobs_are_refused_when_the_store_has_certainly_stored_nothing() {
     let mut world = four_workers(7);
@@ -118,8 +119,8 @@
     assert_eq!(outcome(&world, 1), None, "a refused job never runs");
 }
 
-/// Users of a serving task waited too long, because a filling task used the processors beside it. The serving task must
-/// be placed elsewhere, or the filling task must be stopped if it was there first.
+/// Failure: the users of a serving task waited too long, because a filling task used CPU on the same worker. The
+/// serving task must be placed elsewhere, or the filling task must be stopped if it was there first.
 #[test]
 fn filling_tasks_and_serving_tasks_do_not_share_a_worker() {
     let mut world = World::new(9, 1, Resources::new(8_000, 1_000, 0, 0));
@@ -134,8 +135,8 @@
     assert_eq!(running, [2], "the serving task has replaced it");
 }
 
-/// Most checks were late while a data centre was cut off: each has ten tasks, and with tasks spread over the whole cell
-/// nearly every job has one there. If each job stays in one data centre, two of three jobs are not affected.
+/// Failure: most jobs were late while a data centre was cut off. Each has ten tasks, and with tasks spread over the
+/// whole cell nearly every job has one there. If each job stays in one data centre, two of three jobs are not affected.
 #[test]
 fn the_tasks_of_a_job_run_in_one_data_centre() {
     let mut world = World::new(5, 12, Resources::new(8_000, 1_000, 0, 0));
@@ -151,22 +152,25 @@
         world.run(100);
         for worker in &world.workers {
             for task in worker.runs.keys() {
-                let of_job: &mut Vec<&str> = data_centres.entry(task.step.job).or_default();
-                of_job.push(worker.data_centre);
+                let job_centres: &mut Vec<&str> = data_centres.entry(task.step.job).or_default();
+                job_centres.push(worker.data_centre);
             }
         }
     }
     assert_eq!(data_centres.len(), 6);
-    for (job, of_job) in &data_centres {
-        assert!(of_job.iter().all(|data_centre| *data_centre == of_job[0]), "{job}: {of_job:?}");
+    for (job, job_centres) in &data_centres {
+        assert!(
+            job_centres.iter().all(|data_centre| *data_centre == job_centres[0]),
+            "{job}: {job_centres:?}"
+        );
     }
-    let all: BTreeSet<&str> = data_centres.values().map(|of_job| of_job[0]).collect();
+    let all: BTreeSet<&str> = data_centres.values().map(|job_centres| job_centres[0]).collect();
     assert_eq!(all.len(), 3, "the jobs are spread over all data centres");
 }
 
-/// A check failed that nearly any worker could have run. Advice had allowed one or two workers so far, both faulty:
-/// they failed the check six times within half a second, while workers about which no advice had been requested stood
-/// idle.
+/// Failure: a job failed that nearly any worker could have run. Advice had allowed one or two workers so far, both
+/// faulty: they failed its task six times within half a second, while workers about which no advice had been requested
+/// stood idle.
 #[test]
 fn attempts_are_not_used_up_on_the_few_workers_known_to_be_allowed() {
     const ATTEMPTS: u32 = 6;
--- a/lilacpass-lead/tests/crashing_tasks.rs
+++ b/lilacpass-lead/tests/crashing_tasks.rs
@@ -89,12 +89,12 @@
 fn assert_failed_by_crashes(world: &mut World) {
     assert_eq!(outcome(world, CRASHING_JOB), Some(Outcome::Failed));
     let now = world.now();
-    let why = world
+    let explanation = world
         .current_instance()
         .leader
         .explain(JobKey(CRASHING_JOB), now)
         .expect("the job is known");
-    assert!(why.failure.contains("workers crashed under task"), "{}", why.failure);
+    assert!(explanation.failure.contains("workers crashed under task"), "{}", explanation.failure);
 }
 
 /// A task must not go on crashing one worker after the other, together with everything that runs there.
@@ -271,8 +271,8 @@
     }
 }
 
-/// A healthy job must not fail because one crash is counted on each tick once the worker is back after its leases have
-/// expired.
+/// Guards against a crash that is counted again on each tick, once the worker is back after its leases have expired, so
+/// that a healthy job fails.
 #[test]
 fn a_crash_is_counted_once_however_late_it_is_known() {
     for away_ms in [3_500, 5_000, 6_500, 9_000] {
@@ -351,7 +351,8 @@
     }
 }
 
-/// A healthy job must not fail because of one accidental crash after those of a neighbour that has failed for them.
+/// A healthy job must not fail because of one accidental crash, in addition to the crashes for which the job of its
+/// neighbour has failed.
 #[test]
 fn crashes_of_a_task_that_was_given_up_do_not_count_against_its_neighbours() {
     const NEIGHBOUR: u64 = 2;
@@ -415,7 +416,7 @@
     assert_eq!(outcome(&world, 1), Some(Outcome::Completed));
 }
 
-/// Once a task had been given a copy, each later run of it got one at once.
+/// Failure: once a copy of a task had been started, each later run of the task got a copy at once.
 #[test]
 fn a_copy_is_started_only_beside_a_run_that_may_be_lost() {
     let mut world = World::new(5, 6, Resources::new(8_000, 1_000, 0, 0));
--- a/lilacpass-lead/tests/leader_regressions.rs
+++ b/lilacpass-lead/tests/leader_regressions.rs
@@ -14,8 +14,8 @@
 use lilacpass_schema::v1;
 use world::{plan, queue, step};
 
-/// The tasks of a sweep communicate with each other, and the sweep was slow: its tasks were spread over two racks
-/// though one rack had the capacity for all.
+/// Failure: a job whose tasks communicate with each other was slow. Its tasks were spread over two racks though one
+/// rack had the capacity for all.
 #[test]
 fn tasks_that_need_one_rack_get_one_that_fits_them() {
     let mut fixture = LeaderFixture::new(&[]);
@@ -135,8 +135,8 @@
         .collect()
 }
 
-/// A sweep that needs all its tasks at once stood still for seconds: the start of one member was refused, and the
-/// others waited for it until their worker ended them because their gang was incomplete.
+/// Failure: a gang made no progress for seconds. The start of one member was refused, and the others waited for it
+/// until their worker ended them because their gang was incomplete.
 #[test]
 fn a_gang_that_loses_a_member_is_stopped_at_once() {
     let mut fixture = LeaderFixture::new(&["w-0", "w-1"]);
@@ -155,9 +155,9 @@
     assert!(stopped, "the other member is stopped");
 }
 
-/// A start got no response and was carried out ten seconds later, when the task had long been done elsewhere, so that
-/// one request had two reports. The worker must confirm that the run can't start any more before the task is assigned
-/// to another worker.
+/// Failure: a start got no response and was carried out ten seconds later, when the task had long completed elsewhere,
+/// so that one job had two results. The worker must confirm that the run can't start any more before the task is
+/// assigned to another worker.
 #[test]
 fn a_start_without_a_response_is_stopped_before_the_task_moves() {
     let mut fixture = LeaderFixture::new(&["w-0", "w-1"]);
@@ -180,8 +180,8 @@
     assert_eq!(next_starts[0].2, 2, "with a new run number");
 }
 
-/// Quick checks failed one after the other while most workers were free: a worker that fails all its runs looks idle,
-/// so the retries went there until their attempts were used up.
+/// Failure: quick jobs failed one after the other while most workers were free. A worker that fails all its runs looks
+/// idle, so the retries went there until their attempts were used up.
 #[test]
 fn a_worker_that_fails_several_jobs_is_avoided_while_others_have_capacity() {
     let mut fixture = LeaderFixture::new(&["w-0", "w-1", "w-2", "w-3"]);
@@ -210,8 +210,8 @@
     );
 }
 
-/// The same worker when no other has free capacity: it must get nothing for a while, because each retry would use up an
-/// attempt of its job.
+/// As above, but no other worker has free capacity: the faulty worker must get nothing for a while, because each retry
+/// would use up an attempt of its job.
 #[test]
 fn a_worker_that_fails_several_jobs_is_quarantined_even_if_no_other_has_capacity() {
     let mut fixture = LeaderFixture::new(&["w-0", "w-1", "w-2", "w-3"]);
@@ -258,8 +258,8 @@
     }
 }
 
-/// An audit ran a second time though its report existed: its worker was unresponsive for longer than its lease, the run
-/// was started elsewhere, and then the worker listed the successful end of the first run.
+/// Failure: a task ran a second time though it had completed. Its worker was unresponsive for longer than the lease,
+/// the task was started elsewhere, and then the worker reported the successful end of the first run.
 #[test]
 fn a_successful_end_counts_after_the_leases_of_its_worker_have_expired() {
     let mut fixture = LeaderFixture::new(&["w-0", "w-1"]);
@@ -307,8 +307,8 @@
     assert!(leader.finish(now).iter().any(is_reply), "now there is a response");
 }
 
-/// A client was told that its job does not exist although a new leader had accepted it: the former leader, which it had
-/// asked, had not noticed yet that it was replaced.
+/// Failure: a client was told that its job does not exist although a new leader had accepted it. The client had sent
+/// its request to the former leader, which had not noticed yet that it was replaced.
 #[test]
 fn a_leader_without_recent_confirmation_does_not_report_a_job_as_unknown() {
     let mut fixture = LeaderFixture::new(&[WORKER]);
@@ -334,8 +334,8 @@
         .collect()
 }
 
-/// Half of a large cell stood idle while clients waited: with one response in twenty lost, some workers of each data
-/// centre were unresponsive at any time, and the leader started nothing on the others there either.
+/// Failure: half of a large cell stood idle while clients waited. With one response in twenty lost, some workers of
+/// each data centre were unresponsive at any time, and the leader started nothing on the others there either.
 #[test]
 fn workers_get_starts_while_others_of_their_data_centre_are_unresponsive() {
     let mut fixture = LeaderFixture::new(&["w-0", "w-1", "w-2", "w-3"]);
@@ -364,8 +364,8 @@
     assert_eq!(hosts, [WorkerName::from("w-3")], "until it responds");
 }
 
-/// Checks were late though their tasks ended in time: with one response in twenty lost, each lost one hid the ends on
-/// its worker until the poll timed out. Polls must have shorter waits meanwhile.
+/// Failure: jobs were late though their tasks ended in time. With one response in twenty lost, each lost one hid the
+/// ends on its worker until the poll timed out. Polls must have shorter waits meanwhile.
 #[test]
 fn polls_are_short_while_responses_are_lost() {
     let workers = ["w-0", "w-1", "w-2", "w-3"];
@@ -387,8 +387,8 @@
     assert!(after[0] < before[0] / 2, "{after:?} and {before:?}");
 }
 
-/// No client was served as long as the load stayed high: a busy leader took responses that waited in its own queue for
-/// lost ones, polled more often for that reason, and was even busier.
+/// Failure: no client was served as long as the load stayed high. A busy leader took responses that waited in its own
+/// queue for lost ones, polled more often for that reason, and was even busier.
 #[test]
 fn a_busy_leader_does_not_take_its_own_lateness_for_lost_responses() {
     let workers = ["w-0", "w-1", "w-2", "w-3"];
@@ -411,7 +411,7 @@
     assert_eq!(longest_wait(&fixture.poll_answered("w-0", &[], &[])), before);
 }
 
-/// An overnight sweep ran twice. Its worker was draining when its data centre was cut off; the store dropped the
+/// Failure: a long task ran twice. Its worker was draining when its data centre was cut off; the store dropped the
 /// registration for lack of heartbeats, and the leader presumed that the worker had left.
 #[test]
 fn a_draining_worker_that_is_cut_off_is_not_presumed_gone() {
@@ -440,8 +440,8 @@
     assert_eq!(next_starts[0].2, 2);
 }
 
-/// A check of several tasks was late while the store was slow: until the end of one task was stored, which took most of
-/// a second, the worker was not polled for the ends of the others.
+/// Failure: a job of several tasks was late while the store was slow. Until the end of one task was stored, which took
+/// most of a second, the worker was not polled for the ends of the others.
 #[test]
 fn ends_are_seen_while_an_earlier_one_is_being_stored() {
     let mut fixture = LeaderFixture::new(&[WORKER]);
--- a/lilacpass-lead/tests/overload.rs
+++ b/lilacpass-lead/tests/overload.rs
@@ -115,21 +115,21 @@
 }
 
 #[test]
-fn twice_the_schedulable_jobs_break_no_promise() {
+fn twice_the_schedulable_jobs_complete_or_are_refused_in_time() {
     test_overload(2);
 }
 
 #[test]
-fn five_times_the_schedulable_jobs_break_no_promise() {
+fn five_times_the_schedulable_jobs_complete_or_are_refused_in_time() {
     test_overload(5);
 }
 
 #[test]
-fn twenty_times_the_schedulable_jobs_break_no_promise() {
+fn twenty_times_the_schedulable_jobs_complete_or_are_refused_in_time() {
     test_overload(20);
 }
 
-/// The same with work that a former leader accepted long ago and for which there is no free capacity. Examining all of
+/// As above, with jobs that a former leader accepted long ago and for which there is no free capacity. Examining all of
 /// it takes `times` the interval between two full rounds. Each waiting job should start as capacity becomes free.
 fn test_backlog(times: u64) {
     /// Interval between the leader's full rounds.
--- a/lilacpass-lead/tests/placement.rs
+++ b/lilacpass-lead/tests/placement.rs
@@ -110,8 +110,8 @@
         world.submit(key, plan(&[accelerated(2, 1, 20_000)]), queue("scan", 2));
         world.run(100);
     }
-    let whole = world.workers.iter().filter(|worker| worker.runs.is_empty()).count();
-    assert_eq!(whole, 3, "eight tasks with one accelerator each share a worker");
+    let unused = world.workers.iter().filter(|worker| worker.runs.is_empty()).count();
+    assert_eq!(unused, 3, "eight tasks with one accelerator each share a worker");
 }
 
 /// Failure: an interactive job was late because tasks that could wait for a minute filled every worker. They save
--- a/lilacpass-lead/tests/response_loss.rs
+++ b/lilacpass-lead/tests/response_loss.rs
@@ -1,4 +1,4 @@
-//! Detection of lost responses.
+//! Tests the detection of lost responses.
 
 use lilacpass_lead::response_loss::ResponseLossMeter;
 
@@ -10,8 +10,8 @@
     assert!(!meter.is_lossy(300));
 }
 
-/// Checks were late although all workers were alive: each lost response hid the end of a task for as long as its poll
-/// waited.
+/// Failure: jobs were late although all workers were alive. Each lost response hid the end of a task for as long as its
+/// poll waited.
 #[test]
 fn many_lost_responses_count_as_loss_for_two_seconds() {
     let mut meter = ResponseLossMeter::default();
--- a/lilacpass-lead/tests/same_decisions.rs
+++ b/lilacpass-lead/tests/same_decisions.rs
@@ -91,8 +91,8 @@
     }
 }
 
-/// An operator repeated a simulation to find out why a job had waited, and it took another course: the order of one of
-/// the leader's tables changed from process to process, and the decisions with it.
+/// Failure: an operator repeated a simulation to find out why a job had waited, and got different decisions. They
+/// depended on the iteration order of a hash table, which changes from process to process.
 #[test]
 fn the_same_events_lead_to_the_same_decisions() {
     for seed in 1..=SIMULATIONS {
--- a/lilacpass-lead/tests/waiting_jobs.rs
+++ b/lilacpass-lead/tests/waiting_jobs.rs
@@ -172,7 +172,7 @@
     submit(&mut world, 2);
     world.run(300);
     let job = world.store.job(JobKey(1)).expect("the job is stored");
-    assert!(job.has_started, "stored beside the next job");
+    assert!(job.has_started, "stored together with the next job");
 }
 
 /// Failure: operators who looked for stuck jobs could not tell which open jobs had not started, because those were
--- a/lilacpass-lead/tests/world/cost.rs
+++ b/lilacpass-lead/tests/world/cost.rs
@@ -30,7 +30,7 @@
     pub inbox: Vec<Event>,
     /// Whether the next round is scheduled.
     pub is_woken: bool,
-    /// Until when it is busy with its last round.
+    /// Time until which the leader is busy with its last round, in microseconds.
     pub busy_until_us: u64,
 }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The cost of the scheduling work between two readings of its counter.
+    /// The cost of the scheduling work between two readings of [`SchedulingWork`].
     pub fn of_work(&self, before: SchedulingWork, after: SchedulingWork) -> u64 {
         (after.steps_examined - before.steps_examined) * self.step_us
     }
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Answers a poll that has waited with the present state of the worker.
+    /// Answers a waiting poll with the present state of the worker.
     pub(super) fn answer_waiting_poll(
         &mut self,
         instance: usize,
--- a/lilacpass-lead/tests/world/crashes.rs
+++ b/lilacpass-lead/tests/world/crashes.rs
@@ -10,9 +10,10 @@
 const AWAY_MS: u64 = 3_500;
 /// Time for which the registration of a crashed worker remains.
 const STALE_REGISTRATION_MS: u64 = 4_500;
-/// Workers that must have crashed under a task before its further starts are limited.
+/// Number of workers that a task must have crashed before its further starts are limited.
 const CRASHES_BEFORE_LIMIT: u32 = 3;
-/// The limit holds while no instance has been paused, and the store and the calls have been sound, for this long.
+/// Time for which no instance has been paused, the store has not been down, and no call has been lost, before the limit
+/// applies.
 const UNDISTURBED_MS: u64 = 3_000;
 /// Number of further starts that breaks the limit.
 const TOO_MANY_STARTS: u32 = 3;
@@ -22,13 +23,14 @@
 pub struct Crashes {
     /// Tasks that crash each worker on which they are started, with the delay after the start in ms.
     pub crashing: BTreeMap<TaskName, u64>,
-    /// How long crashed workers are away, if not `AWAY_MS`.
+    /// How long crashed workers are away; `AWAY_MS` if `None`.
     pub away_ms: Option<u64>,
     /// Number of workers that each crashing task has crashed.
     pub crash_counts: BTreeMap<TaskName, u32>,
     /// Tasks that ran on a worker when it crashed.
     pub affected: BTreeSet<TaskName>,
-    /// Starts of each crashing task since it has crashed enough workers, apart from disturbances.
+    /// Number of starts of each crashing task after `CRASHES_BEFORE_LIMIT` crashes, without those soon after a
+    /// disturbance.
     starts_since: BTreeMap<TaskName, u32>,
     /// When the last disturbance was seen.
     disturbed_ms: u64,
@@ -74,7 +76,7 @@
         self.schedule(after_ms, Action::Crash { worker, task });
     }
 
-    /// Crashes the worker of a task, if the task still runs there.
+    /// Crashes a worker if a crashing task still runs there.
     pub(super) fn crash_under(&mut self, worker: &WorkerName, task: TaskName) {
         let runs =
             |w: &super::worker::Worker| w.alive && w.name == *worker && w.runs.contains_key(&task);
--- a/lilacpass-lead/tests/world/mod.rs
+++ b/lilacpass-lead/tests/world/mod.rs
@@ -1,6 +1,6 @@
 //! A simulated cell: leader instances, a store and workers in simulated time, with faults that tests switch on.
 //!
-//! Each start of a run is checked as it happens. No worker exceeds its capacity; no task runs in two places unless it
+//! Each start of a run is checked as it happens. No worker exceeds its capacity; no task runs on two workers unless it
 //! may have copies; none starts again after its end was stored, before the steps that it waits for are done, or too
 //! often after it has crashed workers. Each response about waiting or running jobs is checked against the tasks that
 //! workers have started.
@@ -34,8 +34,8 @@
 use store::Store;
 use worker::Worker;
 
-/// Time of day at the start, in milliseconds since 1970.
-const DAY_MS: u64 = 1_800_000_000_000;
+/// Time at the start of a simulation, in ms since the Unix epoch.
+const START_UNIX_MS: u64 = 1_800_000_000_000;
 /// Time after which a call without a response fails.
 const CALL_TIMEOUT_MS: u64 = 600;
 /// Maximum delay of an order that gets no response but is carried out late.
@@ -126,7 +126,7 @@
     pub fn new(seed: u64, workers: usize, capacity: Resources) -> Self {
         let workers = (0..workers).map(|n| Worker::new(n, capacity)).collect();
         // With RUST_LOG set, the log of a test run shows how it failed.
-        let _already = env_logger::builder().is_test(true).try_init();
+        let _already_initialised = env_logger::builder().is_test(true).try_init();
         let mut world = Self {
             now_ms: 1_000,
             random: Random(seed | 1),
@@ -150,7 +150,7 @@
     }
 
     pub fn now(&self) -> Now {
-        Now { steady_ms: self.now_ms, unix_ms: DAY_MS + self.now_ms }
+        Now { steady_ms: self.now_ms, unix_ms: START_UNIX_MS + self.now_ms }
     }
 
     /// The instance that took over last, from which the store accepts records.
@@ -246,7 +246,7 @@
     }
 
     pub fn response(&self, request_id: RequestId) -> Option<&Response> {
-        self.responses.iter().find(|(t, _)| *t == request_id).map(|(_, response)| response)
+        self.responses.iter().find(|(id, _)| *id == request_id).map(|(_, response)| response)
     }
 
     /// Advances the simulated time, and carries out what is scheduled meanwhile.
@@ -290,8 +290,8 @@
                 }
                 self.schedule(300, Action::Renew { instance });
                 let sent_ms = self.now_ms;
-                let in_force = self.instances[instance].epoch == self.store.epoch;
-                if in_force && !self.store.down && !self.is_paused(instance) {
+                let is_leading = self.instances[instance].epoch == self.store.epoch;
+                if is_leading && !self.store.down && !self.is_paused(instance) {
                     self.deliver(instance, Event::LeadershipConfirmed { sent_ms });
                 }
             }
@@ -394,7 +394,7 @@
                 self.advice_calls.push((step, workers.len()));
                 let good = workers
                     .iter()
-                    .filter(|worker| is_good(worker))
+                    .filter(|worker| is_allowed(worker))
                     .map(|worker| WorkerTicket { worker: worker.clone(), ticket: "t".to_owned() })
                     .collect();
                 let advice = Some(Advice { good, valid_ms: 2_500 });
@@ -551,12 +551,12 @@
 }
 
 /// Whether a worker may run steps that need advice: those with an even number may.
-fn is_good(worker: &WorkerName) -> bool {
+fn is_allowed(worker: &WorkerName) -> bool {
     worker
         .as_str()
         .bytes()
         .last()
-        .is_some_and(|b| b.is_ascii_digit() && (b - b'0').is_multiple_of(2))
+        .is_some_and(|byte| byte.is_ascii_digit() && (byte - b'0').is_multiple_of(2))
 }
 
 /// A plan of steps that run one after the other.
--- a/lilacpass-lead/tests/world/requests.rs
+++ b/lilacpass-lead/tests/world/requests.rs
@@ -27,7 +27,7 @@
             self.cancelled.insert(*job);
         }
         if let Request::Pending { queue } = request {
-            let accepted_jobs = self.accepted.iter().filter(|(_, of)| *of == queue);
+            let accepted_jobs = self.accepted.iter().filter(|(_, job_queue)| *job_queue == queue);
             self.expected_pending
                 .insert(request_id.0, accepted_jobs.map(|(job, _)| *job).collect());
         }
--- a/lilacpass-lead/tests/world/worker.rs
+++ b/lilacpass-lead/tests/world/worker.rs
@@ -40,7 +40,7 @@
     pub address: String,
     /// The capacity that it registers.
     pub capacity: Resources,
-    /// Capacities before reductions, each with the time until which it still counts.
+    /// Capacities before changes, each with the time in ms until which it still counts.
     earlier_capacities: Vec<(u64, Resources)>,
     pub alive: bool,
     /// Whether no call reaches it, while its runs go on.
@@ -70,9 +70,9 @@
     /// Number of the last run of each task that ended or was stopped here.
     last_ended_run: BTreeMap<TaskName, u32>,
     clock_ms: u64,
-    /// Runs that ended because their lease had expired.
+    /// Number of runs that ended because their lease had expired.
     pub expired_run_count: u64,
-    /// Stop orders for active runs.
+    /// Number of stop orders for active runs.
     pub stopped: u64,
 }
 
