--- a/lilacpass-lead/src/leader.rs
+++ b/lilacpass-lead/src/leader.rs
@@ -394,7 +394,7 @@
         log::info!(
             leader = level.as_str(), behind_ms = self.pressure.behind_ms(),
             tries_a_round = self.pressure.max_steps_per_round(), waiting = self.waiting.len(),
-            unseen = self.pending_changes.changed_steps();
+            unseen = self.pending_changes.changed_step_count();
             "pressure level changed"
         );
     }
--- a/lilacpass-lead/src/pending_changes.rs
+++ b/lilacpass-lead/src/pending_changes.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns the number of changed steps that no round has considered since.
-    pub fn changed_steps(&self) -> usize {
+    pub fn changed_step_count(&self) -> usize {
         self.changed.len()
     }
 
--- a/lilacpass-lead/src/requests.rs
+++ b/lilacpass-lead/src/requests.rs
@@ -102,7 +102,7 @@
         if !self.is_leadership_certain(now) {
             return None;
         }
-        self.pressure.check_refusal(self.pending_changes.changed_steps(), now)
+        self.pressure.check_refusal(self.pending_changes.changed_step_count(), now)
     }
 
     /// Refuses a job, of which nothing has been done, because the leader is behind.
