--- a/lilacpass-lead/benches/cell/mod.rs
+++ b/lilacpass-lead/benches/cell/mod.rs
@@ -151,22 +151,26 @@
         let host = &mut self.hosts[host_index];
         let ended: Vec<(TaskName, u32)> =
             host.running.drain(..ends.min(host.running.len())).collect();
-        let row = |&(task, run): &(TaskName, u32)| ReportedRun {
+        let reported_run = |&(task, run): &(TaskName, u32)| ReportedRun {
             task,
             run,
             checkpoint: String::new(),
             percent: (now_ms / 500 % 70) as u32,
             gauge: 0,
         };
-        let running = host.running.iter().map(row).collect();
-        let mut rows = Vec::new();
+        let running = host.running.iter().map(reported_run).collect();
+        let mut reported_ends = Vec::new();
         for (task, run) in ended {
             host.last_end += 1;
             let end = RunEnd { run, reason: EndReason::Done, checkpoint: String::new() };
-            rows.push(ReportedEnd { number: host.last_end, task, end });
+            reported_ends.push(ReportedEnd { number: host.last_end, task, end });
         }
-        let response =
-            PollResponse { clock_ms: now_ms, running, ends: rows, ..PollResponse::default() };
+        let response = PollResponse {
+            clock_ms: now_ms,
+            running,
+            ends: reported_ends,
+            ..PollResponse::default()
+        };
         let sent_ms = now_ms - 1;
         Event::Polled { worker: host.name.clone(), sent_ms, extra: false, result: Ok(response) }
     }
--- a/lilacpass-lead/benches/flow.rs
+++ b/lilacpass-lead/benches/flow.rs
@@ -189,7 +189,7 @@
                 let poll = self.poll_count;
                 let host = &mut self.hosts[host_index];
                 host.poll = Some((poll, self.now_ms));
-                host.ends.retain(|row| row.number > forget_up_to);
+                host.ends.retain(|reported| reported.number > forget_up_to);
                 let wait_ms = if host.ends.is_empty() { wait_ms } else { 0 };
                 self.schedule(wait_ms, Action::EndPollWait { host: host_index, poll });
             }
@@ -233,14 +233,14 @@
         let clock_ms = self.now_ms;
         let host = &mut self.hosts[host_index];
         let Some((_, sent_ms)) = host.poll.take() else { return };
-        let row = |(&task, &run): (&TaskName, &u32)| ReportedRun {
+        let reported_run = |(&task, &run): (&TaskName, &u32)| ReportedRun {
             task,
             run,
             checkpoint: String::new(),
             percent: (clock_ms / 40 % 70) as u32,
             gauge: 0,
         };
-        let running = host.running.iter().map(row).collect();
+        let running = host.running.iter().map(reported_run).collect();
         let response =
             PollResponse { clock_ms, running, ends: host.ends.clone(), remaining_ms: None };
         let worker = host.name.clone();
--- a/lilacpass-lead/src/advice_requests.rs
+++ b/lilacpass-lead/src/advice_requests.rs
@@ -60,15 +60,16 @@
     pub(crate) fn request_advice(&mut self, name: StepName, now: Now) {
         let Some(entry) = self.jobs.get(&name.job) else { return };
         let Some(policy) = entry.job.queue.advice else { return };
-        let known = self.advice.get(&name);
-        if known.is_some_and(|advice| advice.call_pending || now.steady_ms < advice.next_call_ms) {
+        let advice = self.advice.get(&name);
+        if advice.is_some_and(|advice| advice.call_pending || now.steady_ms < advice.next_call_ms) {
             return;
         }
         let plan = entry.job.step_plan(name.step).clone();
         if !self.lanes.may_call(&entry.job.queue.name, policy.base_ms as u64) {
             return;
         }
-        let waiting = entry.job.task_names(name).filter(|t| entry.needs_run(*t)).count() as u64;
+        let waiting =
+            entry.job.task_names(name).filter(|task| entry.needs_run(*task)).count() as u64;
         if waiting == 0 {
             return;
         }
--- a/lilacpass-lead/src/candidates.rs
+++ b/lilacpass-lead/src/candidates.rs
@@ -112,14 +112,14 @@
     /// Rates the workers with enough free capacity and sorts them, best first.
     fn rate_fitting(&self, search: &Search<'_>, demand: &AdviceDemand, now: Now) -> Vec<Rated<'_>> {
         let service = &search.entry.job.queue.service;
-        let few = self.capacity_index.fitting(
+        let fitting = self.capacity_index.fitting(
             service,
             &search.need,
             self.workers.len() / RATE_ALL_DIVISOR,
         );
-        if let Some(few) = few {
-            let few = few.into_iter().filter_map(|name| self.workers.get(name));
-            return best_rated(self.rate_all(search, few, now));
+        if let Some(fitting) = fitting {
+            let workers = fitting.into_iter().filter_map(|name| self.workers.get(name));
+            return best_rated(self.rate_all(search, workers, now));
         }
         self.rate_many(search, demand, now)
     }
@@ -157,7 +157,7 @@
         Some(rated)
     }
 
-    /// Rates all given workers and drops the unsuitable ones.
+    /// Rates all of `workers` and drops the unsuitable ones.
     fn rate_all<'a>(
         &'a self,
         search: &Search<'_>,
--- a/lilacpass-lead/src/hosts.rs
+++ b/lilacpass-lead/src/hosts.rs
@@ -50,14 +50,16 @@
             (self.step, self.now_ms, picked, number).hash(&mut hasher);
             hasher.finish() as usize % eligible.len().max(1)
         };
-        let free = |at: usize| eligible.get(at).map(|host| host.score.free_share);
-        let at = match self.placement {
+        let free_share = |index: usize| eligible.get(index).map(|host| host.score.free_share);
+        let chosen = match self.placement {
             Placement::BestScore | Placement::FirstFit => 0,
-            Placement::LeastLoaded => (0..eligible.len()).max_by_key(|&at| free(at))?,
+            Placement::LeastLoaded => (0..eligible.len()).max_by_key(|&index| free_share(index))?,
             Placement::Random => draw(0),
-            Placement::TwoChoices => [draw(0), draw(1)].into_iter().max_by_key(|&at| free(at))?,
+            Placement::TwoChoices => {
+                [draw(0), draw(1)].into_iter().max_by_key(|&index| free_share(index))?
+            }
         };
-        (at < eligible.len()).then(|| eligible.swap_remove(at))
+        (chosen < eligible.len()).then(|| eligible.swap_remove(chosen))
     }
 }
 
--- a/lilacpass-lead/src/inspect.rs
+++ b/lilacpass-lead/src/inspect.rs
@@ -151,12 +151,12 @@
             explanation.done += u64::from(task.done);
             explanation.waiting += u64::from(task.is_waiting());
             if task.crashes.known > 0 {
-                let row = format!(
+                let crashes = format!(
                     "{task_name}: {} workers crashed under it, {} of them without another explanation",
                     task.crashes.known,
                     task.crashes.unexplained.len()
                 );
-                explanation.crashes.push(row);
+                explanation.crashes.push(crashes);
             }
             for run in &task.runs {
                 let assigned = self
@@ -164,8 +164,9 @@
                     .get(&run.worker)
                     .and_then(|worker| worker.runs.get(&(task_name, run.number)));
                 let phase = assigned.map_or("unknown", |assigned| phase_name(assigned.phase));
-                let row = format!("{task_name} run {} on {}: {phase}", run.number, run.worker);
-                explanation.runs.push(row);
+                let description =
+                    format!("{task_name} run {} on {}: {phase}", run.number, run.worker);
+                explanation.runs.push(description);
             }
         }
         if explanation.waiting > 0 {
--- a/lilacpass-lead/src/leader.rs
+++ b/lilacpass-lead/src/leader.rs
@@ -428,7 +428,7 @@
 
     fn forget_old_jobs(&mut self, now: Now) {
         let retention_ms = self.options.retention_ms;
-        let old: Vec<JobKey> = self
+        let old_jobs: Vec<JobKey> = self
             .jobs
             .values()
             .filter(|entry| {
@@ -438,7 +438,7 @@
             })
             .map(|entry| entry.job.key)
             .collect();
-        for key in old {
+        for key in old_jobs {
             // Drops advice that arrived after the end of the job.
             self.release_steps(key);
             self.jobs.remove(&key);
--- a/lilacpass-lead/src/lost_workers.rs
+++ b/lilacpass-lead/src/lost_workers.rs
@@ -165,8 +165,11 @@
         } else {
             Suspicion::Present
         };
-        let keys: Vec<RunKey> =
-            self.workers.get(name).map(|w| w.runs.keys().copied().collect()).unwrap_or_default();
+        let keys: Vec<RunKey> = self
+            .workers
+            .get(name)
+            .map(|worker| worker.runs.keys().copied().collect())
+            .unwrap_or_default();
         for &key in &keys {
             self.end_as_crashed(name, key, suspicion, now);
         }
--- a/lilacpass-lead/src/outbox.rs
+++ b/lilacpass-lead/src/outbox.rs
@@ -45,7 +45,7 @@
     pub states: BTreeSet<JobKey>,
     /// Jobs whose records are to be deleted.
     pub deletions: BTreeSet<JobKey>,
-    /// Jobs whose state is stored with the next append, but doesn't cause an append by itself.
+    /// Jobs whose state is stored with the next append, but isn't worth an append by itself.
     pub piggyback_states: BTreeSet<JobKey>,
     on_stored: Vec<OnStored>,
 }
--- a/lilacpass-lead/src/polling.rs
+++ b/lilacpass-lead/src/polling.rs
@@ -124,7 +124,7 @@
         }
         let lists_all_ends = response.ends.len() < MAX_LISTED_ENDS;
         let mut listed_runs: Vec<RunKey> =
-            response.running.iter().map(|row| (row.task, row.run)).collect();
+            response.running.iter().map(|reported| (reported.task, reported.run)).collect();
         listed_runs.sort_unstable();
         self.handle_ends(name, response.ends, now);
         self.handle_running(name, &response.running, now);
@@ -150,14 +150,14 @@
     fn handle_ends(&mut self, name: &WorkerName, ends: Vec<ReportedEnd>, now: Now) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let last_seen_end = worker.last_seen_end;
-        let new: Vec<ReportedEnd> =
-            ends.into_iter().filter(|row| row.number > last_seen_end).collect();
-        let Some(up_to) = new.iter().map(|row| row.number).max() else { return };
+        let unseen: Vec<ReportedEnd> =
+            ends.into_iter().filter(|reported| reported.number > last_seen_end).collect();
+        let Some(up_to) = unseen.iter().map(|reported| reported.number).max() else { return };
         worker.last_seen_end = up_to;
-        for row in new {
-            self.record_job_started(row.task.step.job);
-            self.update_worker_health(name, row.task.step.job, row.end.reason, now);
-            self.end_run(name, (row.task, row.end.run), &row.end, now);
+        for reported in unseen {
+            self.record_job_started(reported.task.step.job);
+            self.update_worker_health(name, reported.task.step.job, reported.end.reason, now);
+            self.end_run(name, (reported.task, reported.end.run), &reported.end, now);
         }
         self.outbox.when_stored(OnStored::ForgetEnds { worker: name.clone(), up_to });
     }
@@ -217,19 +217,19 @@
     }
 
     /// Updates runs from the list of running runs in a response.
-    fn handle_running(&mut self, name: &WorkerName, rows: &[ReportedRun], now: Now) {
-        for row in rows {
-            let key = (row.task, row.run);
-            self.record_job_started(row.task.step.job);
-            if let Some(entry) = self.jobs.get_mut(&row.task.step.job) {
-                entry.job.update_checkpoint(row.task, &row.checkpoint);
+    fn handle_running(&mut self, name: &WorkerName, runs: &[ReportedRun], now: Now) {
+        for reported in runs {
+            let key = (reported.task, reported.run);
+            self.record_job_started(reported.task.step.job);
+            if let Some(entry) = self.jobs.get_mut(&reported.task.step.job) {
+                entry.job.update_checkpoint(reported.task, &reported.checkpoint);
             }
             let Some(worker) = self.workers.get_mut(name) else { return };
             let Some(assigned) = worker.runs.get_mut(&key) else {
                 self.stop_orphaned_run(name, key, now);
                 continue;
             };
-            assigned.update_progress(row.percent, now.steady_ms);
+            assigned.update_progress(reported.percent, now.steady_ms);
             if matches!(assigned.phase, Phase::Ordered | Phase::Uncertain { .. }) {
                 assigned.set_phase(Phase::Running { since_ms: now.steady_ms });
             }
@@ -243,7 +243,7 @@
     fn stop_orphaned_run(&mut self, name: &WorkerName, key: RunKey, now: Now) {
         let need = self.need_of(key.0);
         let Some(worker) = self.workers.get_mut(name) else { return };
-        log::warn!(task:% = key.0, run = key.1, worker:% = name; "orphaned run");
+        log::warn!(task:% = key.0, run = key.1, worker:% = name; "stopping an orphaned run");
         worker.assign(key, need, Phase::Running { since_ms: now.steady_ms });
         self.capacity_index.update(worker);
         self.stop_run(name, key, now);
--- a/lilacpass-lead/src/schedule.rs
+++ b/lilacpass-lead/src/schedule.rs
@@ -94,7 +94,7 @@
         first.into_iter().chain(next_request).min()
     }
 
-    /// Places waiting tasks of a step. Only workers in `subset` are considered if it is given.
+    /// Places waiting tasks of a step. If `subset` is `Some`, only its workers are considered.
     pub(crate) fn place_step(
         &mut self,
         name: StepName,
@@ -202,7 +202,7 @@
         runs.is_some_and(|runs| runs.iter().any(|run| run.worker == *worker))
     }
 
-    /// Returns the workers that can start tasks of a step now, limited to `subset` if it is given.
+    /// Returns the workers that can start tasks of a step now, limited to those in `subset` if it is `Some`.
     fn available_hosts(
         &self,
         name: StepName,
@@ -240,8 +240,8 @@
             .collect()
     }
 
-    /// Returns the workers that advice permits for a step, limited to `subset` if it is given. A step whose queue needs
-    /// no advice may use all workers.
+    /// Returns the workers that advice permits for a step, limited to those in `subset` if it is `Some`. A step whose
+    /// queue needs no advice may use all workers.
     pub(crate) fn allowed_workers(
         &self,
         name: StepName,
--- a/lilacpass-lead/tests/cell_regressions.rs
+++ b/lilacpass-lead/tests/cell_regressions.rs
@@ -79,8 +79,8 @@
     world.submit(1, plan(&[lasting]), queue("watch", 1));
     world.run(1_000);
     let host = world.workers.iter().position(|w| !w.runs.is_empty()).expect("the task runs");
-    let there = world.workers[host].data_centre;
-    for worker in world.workers.iter_mut().filter(|worker| worker.data_centre == there) {
+    let data_centre = world.workers[host].data_centre;
+    for worker in world.workers.iter_mut().filter(|worker| worker.data_centre == data_centre) {
         worker.unreachable = true;
         worker.registered = false;
     }
@@ -164,8 +164,8 @@
             "{job}: {job_centres:?}"
         );
     }
-    let all: BTreeSet<&str> = data_centres.values().map(|job_centres| job_centres[0]).collect();
-    assert_eq!(all.len(), 3, "the jobs are spread over all data centres");
+    let used: BTreeSet<&str> = data_centres.values().map(|job_centres| job_centres[0]).collect();
+    assert_eq!(used.len(), 3, "the jobs are spread over all data centres");
 }
 
 /// Failure: a job failed that nearly any worker could have run. Advice had allowed one or two workers so far, both
--- a/lilacpass-lead/tests/pressure.rs
+++ b/lilacpass-lead/tests/pressure.rs
@@ -95,17 +95,17 @@
     }
     let mut scan = Scan::default();
     scan.start(None, at(0));
-    let mut seen = Vec::new();
+    let mut examined = Vec::new();
     for number in 0..30 {
         waiting.add(rank(number).step, StepKind::Plain, 0, || rank(number));
-        seen.extend(scan.next(&waiting, 8, at(number)));
+        examined.extend(scan.next(&waiting, 8, at(number)));
         if !scan.is_active() {
             break;
         }
     }
     assert!(!scan.is_active(), "the scan ends");
     for number in 1_000..1_100 {
-        assert!(seen.contains(&rank(number).step), "step {number}");
+        assert!(examined.contains(&rank(number).step), "step {number}");
     }
 }
 
--- a/lilacpass-lead/tests/world/mod.rs
+++ b/lilacpass-lead/tests/world/mod.rs
@@ -88,7 +88,7 @@
     /// An instance with operation costs is free for its next round.
     RunRound { instance: usize },
     /// A worker answers a poll that has waited for the end of a run.
-    PollEnds { instance: usize, worker_index: usize, effect: Effect, sent_ms: u64 },
+    AnswerPoll { instance: usize, worker_index: usize, effect: Effect, sent_ms: u64 },
     /// A task crashes the worker on which it was started.
     Crash { worker: WorkerName, task: TaskName },
     /// A crashed worker is back under a new name.
@@ -112,7 +112,7 @@
     /// Percentage of orders that get no response and may be carried out late.
     pub lost_order_percent: u64,
     pub options: Options,
-    /// When each request got its response, by the number of the request.
+    /// When each request got its response in ms, by the number of the request.
     pub responded_ms: BTreeMap<u64, u64>,
     /// Costs of a leader's operations; `None` if they take no time.
     pub costs: Option<Costs>,
@@ -124,7 +124,7 @@
 
 impl World {
     pub fn new(seed: u64, workers: usize, capacity: Resources) -> Self {
-        let workers = (0..workers).map(|n| Worker::new(n, capacity)).collect();
+        let workers = (0..workers).map(|number| Worker::new(number, capacity)).collect();
         // With RUST_LOG set, the log of a test run shows how it failed.
         let _already_initialised = env_logger::builder().is_test(true).try_init();
         let mut world = Self {
@@ -299,7 +299,7 @@
                 self.carry_out(instance, effect, is_answered);
             }
             Action::RunRound { instance } => self.run_round(instance),
-            Action::PollEnds { instance, worker_index, effect, sent_ms } => {
+            Action::AnswerPoll { instance, worker_index, effect, sent_ms } => {
                 self.answer_waiting_poll(instance, worker_index, &effect, sent_ms);
             }
             Action::Crash { worker, task } => self.crash_under(&worker, task),
@@ -427,7 +427,8 @@
             | Effect::Poll { worker, address, .. } => (worker.clone(), address.clone()),
             _ => return,
         };
-        let worker_index = self.workers.iter().position(|w| w.alive && w.address == address);
+        let worker_index =
+            self.workers.iter().position(|worker| worker.alive && worker.address == address);
         let reachable =
             worker_index.filter(|&worker_index| !self.workers[worker_index].unreachable);
         let Some(worker_index) = reachable else {
@@ -456,8 +457,9 @@
                 if self.costs.is_some() && result.is_ok() {
                     let wait_ms = self.workers[worker_index].next_end_ms(*wait_ms, now_ms);
                     let effect = effect.clone();
-                    let ends = Action::PollEnds { instance, worker_index, effect, sent_ms: now_ms };
-                    return self.schedule(wait_ms, ends);
+                    let answer =
+                        Action::AnswerPoll { instance, worker_index, effect, sent_ms: now_ms };
+                    return self.schedule(wait_ms, answer);
                 }
                 // A poll is answered when a run ends. Without operation costs, this is after part of its wait.
                 let wait_ms = (*wait_ms).min(100);
--- a/lilacpass-lead/tests/world/worker.rs
+++ b/lilacpass-lead/tests/world/worker.rs
@@ -201,12 +201,12 @@
         if let Some(until_ms) = lease_until_ms {
             self.lease_until_ms = self.lease_until_ms.max(until_ms);
         }
-        for row in self.ends.iter().filter(|row| row.number <= forget_up_to) {
-            if row.end.reason == EndReason::Done && row.number > self.last_end_at_expiry {
-                self.stored_done.insert(row.task);
+        for reported in self.ends.iter().filter(|reported| reported.number <= forget_up_to) {
+            if reported.end.reason == EndReason::Done && reported.number > self.last_end_at_expiry {
+                self.stored_done.insert(reported.task);
             }
         }
-        self.ends.retain(|row| row.number > forget_up_to);
+        self.ends.retain(|reported| reported.number > forget_up_to);
         let running = self.runs.iter().map(|(task, run)| ReportedRun {
             task: *task,
             run: run.run,
