--- a/lilacpass-lead/benches/round.rs
+++ b/lilacpass-lead/benches/round.rs
@@ -1,6 +1,6 @@
 //! Measures the time of one scheduling round in a full cell, by the number of workers and of waiting steps.
 //!
-//! The mean times of each size are followed by the median and the 99th percentile of single decisions.
+//! For each size, prints the mean times and then the median and the 99th percentile of single decisions.
 
 mod cell;
 
--- a/lilacpass-lead/src/inspect.rs
+++ b/lilacpass-lead/src/inspect.rs
@@ -151,12 +151,12 @@
             explanation.done += u64::from(task.done);
             explanation.waiting += u64::from(task.is_waiting());
             if task.crashes.known > 0 {
-                let crashes = format!(
+                let description = format!(
                     "{task_name}: {} workers crashed under it, {} of them without another explanation",
                     task.crashes.known,
                     task.crashes.unexplained.len()
                 );
-                explanation.crashes.push(crashes);
+                explanation.crashes.push(description);
             }
             for run in &task.runs {
                 let assigned = self
--- a/lilacpass-lead/src/orders.rs
+++ b/lilacpass-lead/src/orders.rs
@@ -284,7 +284,7 @@
         estimates
     }
 
-    /// Replaces a run: starts a copy if `may_copy`, otherwise stops it. `is_lost` tells whether the run itself is stuck
+    /// Replaces a run: starts a copy if `may_copy`, otherwise stops it. `is_lost` says whether the run itself is stuck
     /// or slow, rather than its worker unresponsive.
     fn replace_run(
         &mut self,
--- a/lilacpass-lead/src/place.rs
+++ b/lilacpass-lead/src/place.rs
@@ -64,7 +64,7 @@
     free.cpu.0 * 1_000 / capacity.cpu.0.max(1)
 }
 
-/// Returns the data centre in which most tasks of a step fit on the given workers; `None` if no task fits anywhere.
+/// Returns the data centre in which most tasks of a step fit on `workers`; `None` if no task fits anywhere.
 ///
 /// The tasks of a job are kept in one data centre, because a job completes only with its last task. If one of three
 /// data centres is cut off, a third of the running jobs are delayed. If tasks were spread over all workers, nearly
--- a/lilacpass-lead/src/reservations.rs
+++ b/lilacpass-lead/src/reservations.rs
@@ -19,7 +19,7 @@
 /// The reservations of all steps.
 #[derive(Debug, Default)]
 pub struct Reservations {
-    /// The capacity reserved on each worker, with the rank from which later steps can't use it.
+    /// The reserved capacities on each worker. Steps that come after the rank can't use the capacity.
     by_worker: BTreeMap<WorkerName, Vec<(Rank, Resources)>>,
     by_step: HashMap<StepName, Reservation>,
 }
--- a/lilacpass-lead/src/trials.rs
+++ b/lilacpass-lead/src/trials.rs
@@ -35,8 +35,9 @@
         entry.job.is_suspected(name) || runs.iter().any(is_lost_after_start)
     }
 
-    /// Picks workers for the trials of tasks, one worker for each. Prefers workers with few other runs that have not
-    /// proved harmless yet, and those where a crash does little harm.
+    /// Picks workers for the trials of tasks, one worker for each. Prefers addresses at which no worker has crashed
+    /// while it ran this job, then workers with few other runs that have not proved harmless yet, then workers where a
+    /// crash does little harm.
     pub(crate) fn pick_for_trials(
         &self,
         entry: &JobEntry,
--- a/lilacpass-lead/src/waiting.rs
+++ b/lilacpass-lead/src/waiting.rs
@@ -43,7 +43,7 @@
 }
 
 impl StepKind {
-    /// Returns the kind of a step. `is_advised` is whether its queue needs advice.
+    /// Returns the kind of a step. `is_advised` says whether its queue needs advice.
     pub fn of(plan: &v1::WorkStep, is_advised: bool) -> Self {
         if plan.gang || plan.one_rack || plan.target_ms > 0 {
             Self::Combined
--- a/lilacpass-lead/src/worker.rs
+++ b/lilacpass-lead/src/worker.rs
@@ -260,7 +260,7 @@
         self.last_response_ms > 0
     }
 
-    /// Whether the start of the run may still crash the worker: it is not known to have outlived the start by
+    /// Whether the start of the run may still crash the worker: the worker is not known to have outlived the start by
     /// `PROVEN_AFTER_MS`.
     pub fn is_unproven(&self, assigned: &AssignedRun) -> bool {
         assigned.started_ms.is_none_or(|ms| self.last_response_ms < ms + PROVEN_AFTER_MS)
--- a/lilacpass-lead/tests/capacity.rs
+++ b/lilacpass-lead/tests/capacity.rs
@@ -72,7 +72,7 @@
     assert_eq!(outcome(&world, 2), Some(Outcome::Completed));
 }
 
-/// Runs must be assigned by the present capacity of a worker, which may shrink and grow.
+/// Runs must be assigned by the present capacity of a worker after it has shrunk, and again after it has grown.
 #[test]
 fn starts_follow_the_capacity_of_workers_that_shrink_and_grow() {
     for seed in 1..20 {
--- a/lilacpass-lead/tests/crashing_tasks.rs
+++ b/lilacpass-lead/tests/crashing_tasks.rs
@@ -271,8 +271,8 @@
     }
 }
 
-/// Guards against a crash that is counted again on each tick, once the worker is back after its leases have expired, so
-/// that a healthy job fails.
+/// One crash must not be counted on each tick, once the worker is back after its leases have expired. A healthy job
+/// would fail.
 #[test]
 fn a_crash_is_counted_once_however_late_it_is_known() {
     for away_ms in [3_500, 5_000, 6_500, 9_000] {
