--- a/lilacpass-cli/src/api/client.rs
+++ b/lilacpass-cli/src/api/client.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     api::{
-        exchange::{self, Answer, Call, Failure, Token},
+        exchange::{self, BearerToken, Request, Response, SendError},
         server::Server,
     },
     error::{Error, Result},
@@ -34,27 +34,27 @@
 
 /// Whether a call that may have reached one server may go to another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// It changes nothing, or carries a key under which the servers know it again.
-    Safe,
+    Idempotent,
     /// Only with proof that it had no effect.
-    OnlyNotRun,
+    OnlyIfNotRun,
 }
 
 /// A caller of the HTTP interface, with the servers that it may use.
 pub struct Client {
     servers: Vec<Server>,
-    token: Option<Token>,
+    token: Option<BearerToken>,
     timeout: Duration,
     /// Position of the server that answered last and is asked first.
-    first: usize,
+    preferred: usize,
 }
 
 impl Client {
     /// A client of `servers`, of which there is at least one, where each call takes at most
     /// `timeout`.
-    pub fn new(servers: Vec<Server>, token: Option<Token>, timeout: Duration) -> Self {
-        Self { servers, token, timeout, first: 0 }
+    pub fn new(servers: Vec<Server>, token: Option<BearerToken>, timeout: Duration) -> Self {
+        Self { servers, token, timeout, preferred: 0 }
     }
 
     /// Time that one call may take.
@@ -63,27 +63,27 @@
     }
 
     /// One client for each server, which asks no other one.
-    pub fn each(&self) -> impl Iterator<Item = (Server, Self)> {
+    pub fn per_server(&self) -> impl Iterator<Item = (Server, Self)> {
         self.servers.iter().map(|server| {
-            let only = Self::new(vec![server.clone()], self.token.clone(), self.timeout);
-            (server.clone(), only)
+            let single = Self::new(vec![server.clone()], self.token.clone(), self.timeout);
+            (server.clone(), single)
         })
     }
 
     /// Looks at `path`.
     pub async fn get(&mut self, path: &str) -> Result<Value> {
-        self.get_within(path, self.timeout).await
+        self.get_with_timeout(path, self.timeout).await
     }
 
     /// Looks at `path` with a timeout of its own, for calls that wait for news.
-    pub async fn get_within(&mut self, path: &str, timeout: Duration) -> Result<Value> {
-        let call = Call { timeout, ..self.call(Method::GET, path) };
-        self.send(&call, Repeat::Safe, None).await
+    pub async fn get_with_timeout(&mut self, path: &str, timeout: Duration) -> Result<Value> {
+        let request = Request { timeout, ..self.request(Method::GET, path) };
+        self.send(&request, RetryPolicy::Idempotent, None).await
     }
 
     /// Deletes `path`; doing so twice does no harm.
     pub async fn delete(&mut self, path: &str) -> Result<Value> {
-        self.send(&self.call(Method::DELETE, path), Repeat::Safe, None).await
+        self.send(&self.request(Method::DELETE, path), RetryPolicy::Idempotent, None).await
     }
 
     /// Posts `body` to `path` with the headers given.
@@ -92,31 +92,31 @@
         path: &str,
         headers: Vec<(&'static str, String)>,
         body: &T,
-        repeat: Repeat,
+        retry_policy: RetryPolicy,
     ) -> Result<Value> {
-        let body = json(body)?;
-        let call = Call { headers, body, ..self.call(Method::POST, path) };
-        self.send(&call, repeat, None).await
+        let body = to_json(body)?;
+        let request = Request { headers, body, ..self.request(Method::POST, path) };
+        self.send(&request, retry_policy, None).await
     }
 
     /// Posts a request for whose answer a person waits until `deadline` from now, whatever the
     /// number of servers that are asked in that time.
-    pub async fn post_within<T: Serialize>(
+    pub async fn post_with_deadline<T: Serialize>(
         &mut self,
         path: &str,
         headers: Vec<(&'static str, String)>,
         body: &T,
-        repeat: Repeat,
+        retry_policy: RetryPolicy,
         deadline: Duration,
     ) -> Result<Value> {
-        let body = json(body)?;
-        let call = Call { headers, body, ..self.call(Method::POST, path) };
-        self.send(&call, repeat, Some(deadline)).await
+        let body = to_json(body)?;
+        let request = Request { headers, body, ..self.request(Method::POST, path) };
+        self.send(&request, retry_policy, Some(deadline)).await
     }
 
-    fn call(&self, method: Method, path: &str) -> Call {
+    fn request(&self, method: Method, path: &str) -> Request {
         let timeout = self.timeout;
-        Call { method, path: path.to_owned(), headers: Vec::new(), body: String::new(), timeout }
+        Request { method, path: path.to_owned(), headers: Vec::new(), body: String::new(), timeout }
     }
 
     /// Sends `call` to one server after the other, each at most once, while [`may_go_on`] allows.
@@ -125,70 +125,70 @@
     /// itself, so its answer is taken as final, except that it is the wrong server to ask.
     async fn send(
         &mut self,
-        call: &Call,
-        repeat: Repeat,
+        request: &Request,
+        retry_policy: RetryPolicy,
         deadline: Option<Duration>,
     ) -> Result<Value> {
         let started = Instant::now();
-        let has_effect = call.method != Method::GET;
+        let has_effect = request.method != Method::GET;
         let mut in_doubt = false;
-        let mut last = Error::Unreachable("no server is given".to_owned());
-        for step in 0..self.servers.len() {
-            let at = (self.first + step) % self.servers.len();
-            let server = &self.servers[at];
-            let left = deadline.map(|deadline| deadline.saturating_sub(started.elapsed()));
-            if step > 0 && left.is_some_and(|left| left.is_zero()) {
+        let mut last_error = Error::Unreachable("no server is given".to_owned());
+        for attempt in 0..self.servers.len() {
+            let index = (self.preferred + attempt) % self.servers.len();
+            let server = &self.servers[index];
+            let remaining = deadline.map(|deadline| deadline.saturating_sub(started.elapsed()));
+            if attempt > 0 && remaining.is_some_and(|remaining| remaining.is_zero()) {
                 break;
             }
-            let call = &within(call, left);
-            let outcome = exchange::send(server, call, self.token.as_ref()).await;
-            last = match read(server, outcome) {
+            let request = &with_deadline(request, remaining);
+            let outcome = exchange::send(server, request, self.token.as_ref()).await;
+            last_error = match parse_response(server, outcome) {
                 Ok(value) => {
-                    self.first = at;
+                    self.preferred = index;
                     return Ok(value);
                 }
-                Err(err) if has_effect => settle(err, in_doubt),
-                Err(err) => harmless(err),
+                Err(err) if has_effect => unknown_if_in_doubt(err, in_doubt),
+                Err(err) => read_only_error(err),
             };
-            if !may_go_on(&last, repeat) {
+            if !may_try_next_server(&last_error, retry_policy) {
                 break;
             }
-            in_doubt |= has_effect && !proves_not_run(&last);
-            if step + 1 < self.servers.len() {
-                eprintln!("lilacpass: {last}; going on to the next server");
+            in_doubt |= has_effect && !proves_not_run(&last_error);
+            if attempt + 1 < self.servers.len() {
+                eprintln!("lilacpass: {last_error}; trying the next server");
             }
         }
-        Err(last)
+        Err(last_error)
     }
 }
 
 /// The call with the time that is left until the caller's deadline, where there is one.
-fn within(call: &Call, left: Option<Duration>) -> Call {
-    let mut call = call.clone();
-    if let Some(left) = left {
-        call.headers.push((DEADLINE_MS, units::ms(left).max(1).to_string()));
-        call.timeout = left + DEADLINE_MARGIN;
+fn with_deadline(request: &Request, remaining: Option<Duration>) -> Request {
+    let mut request = request.clone();
+    if let Some(remaining) = remaining {
+        request.headers.push((DEADLINE_MS, units::ms(remaining).max(1).to_string()));
+        request.timeout = remaining + DEADLINE_MARGIN;
     }
-    call
+    request
 }
 
-fn json<T: Serialize>(body: &T) -> Result<String> {
+fn to_json<T: Serialize>(body: &T) -> Result<String> {
     serde_json::to_string(body).map_err(|err| Error::Usage(err.to_string()))
 }
 
 /// Whether a call that ended with `err` may be sent to the next server.
-fn may_go_on(err: &Error, repeat: Repeat) -> bool {
+fn may_try_next_server(err: &Error, retry_policy: RetryPolicy) -> bool {
     match err {
-        Error::Unreachable(_) | Error::NoAnswer(_) => true,
-        Error::Unsettled(_) => repeat == Repeat::Safe,
+        Error::Unreachable(_) | Error::NoResponse(_) => true,
+        Error::OutcomeUnknown(_) => retry_policy == RetryPolicy::Idempotent,
         Error::Problem(problem) => {
             // Not an overload (429): the server has tried the others' workers already, and asking
             // each server again would multiply the load just then.
             let wrong_server = [BAD_GATEWAY, SERVICE_UNAVAILABLE].map(u32::from);
             let not_run = problem.verdict == Verdict::NotRun.as_str();
             let has_run = problem.verdict == Verdict::Ran.as_str();
-            let harmless = not_run || repeat == Repeat::Safe && !has_run;
-            wrong_server.contains(&problem.status) && harmless
+            let may_repeat = not_run || retry_policy == RetryPolicy::Idempotent && !has_run;
+            wrong_server.contains(&problem.status) && may_repeat
         }
         _ => false,
     }
@@ -205,50 +205,53 @@
 
 /// The error where an earlier server is in doubt: "not run" from this server then proves nothing
 /// about the earlier one, which may have taken the same request.
-fn settle(err: Error, in_doubt: bool) -> Error {
+fn unknown_if_in_doubt(err: Error, in_doubt: bool) -> Error {
     if in_doubt && proves_not_run(&err) {
-        return Error::Unsettled(format!("{err}, but an earlier server may have taken it"));
+        return Error::OutcomeUnknown(format!("{err}, but an earlier server may have taken it"));
     }
     err
 }
 
 /// The error of a call that changes nothing: there is no doubt about its effect.
-fn harmless(err: Error) -> Error {
+fn read_only_error(err: Error) -> Error {
     match err {
-        Error::Unsettled(detail) => Error::NoAnswer(detail),
+        Error::OutcomeUnknown(detail) => Error::NoResponse(detail),
         other => other,
     }
 }
 
 /// Turns the outcome of one exchange into the JSON answer or the error.
-fn read(server: &Server, outcome: std::result::Result<Answer, Failure>) -> Result<Value> {
-    let answer = match outcome {
-        Ok(answer) => answer,
-        Err(Failure::NotSent(detail)) => {
+fn parse_response(
+    server: &Server,
+    outcome: std::result::Result<Response, SendError>,
+) -> Result<Value> {
+    let response = match outcome {
+        Ok(response) => response,
+        Err(SendError::NotSent(detail)) => {
             return Err(Error::Unreachable(format!("{server}: {detail}")));
         }
-        Err(Failure::NoAnswer(detail)) => {
-            return Err(Error::Unsettled(format!("{server}: {detail}")));
+        Err(SendError::NoResponse(detail)) => {
+            return Err(Error::OutcomeUnknown(format!("{server}: {detail}")));
         }
     };
-    if !(200..300).contains(&answer.status) {
-        return Err(Error::Problem(Box::new(problem(&answer))));
+    if !(200..300).contains(&response.status) {
+        return Err(Error::Problem(Box::new(to_problem(&response))));
     }
-    if answer.body.is_empty() {
+    if response.body.is_empty() {
         return Ok(Value::Null);
     }
-    serde_json::from_slice(&answer.body).map_err(|err| Error::Unreadable(err.to_string()))
+    serde_json::from_slice(&response.body).map_err(|err| Error::InvalidResponse(err.to_string()))
 }
 
 /// The problem document of an answer. An answer that is none, such as one of a balancer on the
 /// way, becomes one without a verdict.
-fn problem(answer: &Answer) -> v1::Problem {
+fn to_problem(response: &Response) -> v1::Problem {
     const MAX_SHOWN_CHARS: usize = 200;
-    let status = u32::from(answer.status);
-    if let Ok(problem) = serde_json::from_slice::<v1::Problem>(&answer.body) {
+    let status = u32::from(response.status);
+    if let Ok(problem) = serde_json::from_slice::<v1::Problem>(&response.body) {
         return v1::Problem { status, ..problem };
     }
-    let text = String::from_utf8_lossy(&answer.body);
+    let text = String::from_utf8_lossy(&response.body);
     v1::Problem {
         title: format!("HTTP status {status}"),
         status,
--- a/lilacpass-cli/src/api/exchange.rs
+++ b/lilacpass-cli/src/api/exchange.rs
@@ -22,9 +22,9 @@
 
 /// A bearer token. Its text appears in no debug output.
 #[derive(Clone)]
-pub struct Token(HeaderValue);
+pub struct BearerToken(HeaderValue);
 
-impl Token {
+impl BearerToken {
     /// Wraps the text of a token.
     pub fn new(text: &str) -> Result<Self, String> {
         let mut value = HeaderValue::from_str(&format!("Bearer {}", text.trim()))
@@ -36,7 +36,7 @@
 
 /// A request to any server.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct Request {
     /// Method of HTTP.
     pub method: Method,
     /// Path and query, such as `/v1/jobs`.
@@ -51,7 +51,7 @@
 
 /// What a server answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     /// Status of HTTP.
     pub status: u16,
     /// The whole body.
@@ -60,43 +60,52 @@
 
 /// Why there is no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum SendError {
     /// There was no connection, so nothing was sent.
     NotSent(String),
     /// The request may have reached the server.
-    NoAnswer(String),
+    NoResponse(String),
 }
 
 /// Sends `call` to `server` over a connection of its own.
 ///
 /// No connection is kept for a later call: one that went silent between two calls, because
 /// something on the way lost track of it, would swallow the next call until its timeout.
-pub async fn send(server: &Server, call: &Call, token: Option<&Token>) -> Result<Answer, Failure> {
-    match time::timeout(call.timeout, exchange(server, call, token)).await {
+pub async fn send(
+    server: &Server,
+    request: &Request,
+    token: Option<&BearerToken>,
+) -> Result<Response, SendError> {
+    match time::timeout(request.timeout, exchange(server, request, token)).await {
         Ok(result) => result,
-        Err(_) => Err(Failure::NoAnswer(format!("none within {:?}", call.timeout))),
+        Err(_) => Err(SendError::NoResponse(format!("none within {:?}", request.timeout))),
     }
 }
 
-async fn exchange(server: &Server, call: &Call, token: Option<&Token>) -> Result<Answer, Failure> {
-    let mut builder = client::ClientBuilder::new();
-    builder.set_connect_timeout(CONNECT_TIMEOUT.min(call.timeout / 2));
-    let client: client::Client = builder.build().map_err(failure)?;
-    let mut request = client.request(call.method.clone(), server.url(&call.path));
-    for (name, value) in &call.headers {
-        request = request.header(*name, value.as_str());
+async fn exchange(
+    server: &Server,
+    request: &Request,
+    token: Option<&BearerToken>,
+) -> Result<Response, SendError> {
+    let mut client_builder = client::ClientBuilder::new();
+    client_builder.set_connect_timeout(CONNECT_TIMEOUT.min(request.timeout / 2));
+    let client: client::Client = client_builder.build().map_err(classify_error)?;
+    let mut request_builder = client.request(request.method.clone(), server.url(&request.path));
+    for (name, value) in &request.headers {
+        request_builder = request_builder.header(*name, value.as_str());
     }
-    if let Some(Token(value)) = token {
-        request = request.header(AUTHORIZATION, value.clone());
+    if let Some(BearerToken(value)) = token {
+        request_builder = request_builder.header(AUTHORIZATION, value.clone());
     }
-    if !call.body.is_empty() {
-        request = request.header(CONTENT_TYPE, "application/json").data(call.body.clone());
+    if !request.body.is_empty() {
+        request_builder =
+            request_builder.header(CONTENT_TYPE, "application/json").data(request.body.clone());
     }
-    let answer: response::Response = request.send().await.map_err(failure)?;
-    let status = answer.status().as_u16();
-    let broken = |err| Failure::NoAnswer(format!("the answer broke off: {err}"));
-    let body = answer.into_body().into_vec().await.map_err(broken)?;
-    Ok(Answer { status, body })
+    let response: response::Response = request_builder.send().await.map_err(classify_error)?;
+    let status = response.status().as_u16();
+    let body_error = |err| SendError::NoResponse(format!("the answer broke off: {err}"));
+    let body = response.into_body().into_vec().await.map_err(body_error)?;
+    Ok(Response { status, body })
 }
 
 /// Sorts the errors of the HTTP library: those from before the first byte left prove that nothing
@@ -104,13 +113,13 @@
 ///
 /// The library reports a connection that could not be made as an error of the request, caused
 /// directly by an I/O error. Any error after that is caused by one of the HTTP protocol.
-fn failure(err: ClientError) -> Failure {
-    let not_connected = err.source().is_some_and(<dyn Error>::is::<io::Error>);
+fn classify_error(err: ClientError) -> SendError {
+    let connect_failed = err.source().is_some_and(<dyn Error>::is::<io::Error>);
     match err.kind() {
         ErrorKind::Builder | ErrorKind::Connect | ErrorKind::LoadBalance | ErrorKind::Context => {
-            Failure::NotSent(err.to_string())
+            SendError::NotSent(err.to_string())
         }
-        ErrorKind::Request if not_connected => Failure::NotSent(err.to_string()),
-        _ => Failure::NoAnswer(err.to_string()),
+        ErrorKind::Request if connect_failed => SendError::NotSent(err.to_string()),
+        _ => SendError::NoResponse(err.to_string()),
     }
 }
--- a/lilacpass-cli/src/commands.rs
+++ b/lilacpass-cli/src/commands.rs
@@ -3,7 +3,7 @@
 use clap::CommandFactory;
 
 use crate::{
-    api::{Client, exchange::Token},
+    api::{Client, exchange::BearerToken},
     args::{Cli, Command, GlobalArgs, TokenCommand},
     error::{Error, Result},
     report::{Format, Report},
@@ -25,7 +25,7 @@
 pub mod workers;
 
 /// What the commands work with.
-pub struct Tool {
+pub struct Context {
     /// The servers.
     pub client: Client,
     /// The form in which results are printed.
@@ -35,22 +35,22 @@
 /// Runs the command that `cli` names. `now_unix_ms` is the time, in milliseconds since 1970.
 pub async fn run(cli: Cli, now_unix_ms: u64) -> Result<Report> {
     let Cli { global, command } = cli;
-    let tool = &mut tool(global)?;
+    let context = &mut create_context(global)?;
     match command {
-        Command::Submit(args) => submit::run(tool, &args).await,
-        Command::Wait(args) => wait::run(tool, &args).await,
-        Command::Cancel { job } => jobs::cancel(tool, job).await,
-        Command::Jobs(args) => jobs::list(tool, &args).await,
-        Command::Explain { job } => jobs::explain(tool, job).await,
-        Command::Workers(args) => workers::run(tool, &args).await,
-        Command::Status { cell: false } => status::run(tool).await,
-        Command::Status { cell: true } => cell::run(tool).await,
-        Command::Inventory => inventory::run(tool).await,
-        Command::Apply(args) => change::apply(tool, &args).await,
-        Command::Diff(args) => change::diff(tool, &args).await,
-        Command::Drain(args) => change::drain(tool, &args).await,
-        Command::Changes => change::list(tool).await,
-        Command::Audit(args) => audit::run(tool, &args, now_unix_ms).await,
+        Command::Submit(args) => submit::run(context, &args).await,
+        Command::Wait(args) => wait::run(context, &args).await,
+        Command::Cancel { job } => jobs::cancel(context, job).await,
+        Command::Jobs(args) => jobs::list(context, &args).await,
+        Command::Explain { job } => jobs::explain(context, job).await,
+        Command::Workers(args) => workers::run(context, &args).await,
+        Command::Status { cell: false } => status::run(context).await,
+        Command::Status { cell: true } => cell::run(context).await,
+        Command::Inventory => inventory::run(context).await,
+        Command::Apply(args) => change::apply(context, &args).await,
+        Command::Diff(args) => change::diff(context, &args).await,
+        Command::Drain(args) => change::drain(context, &args).await,
+        Command::Changes => change::list(context).await,
+        Command::Audit(args) => audit::run(context, &args, now_unix_ms).await,
         Command::Token(TokenCommand::New(args)) => token::new(&args, now_unix_ms),
         Command::ImportCsv(args) => import::run(&args),
         Command::Check(args) => check::run(&args),
@@ -58,15 +58,15 @@
     }
 }
 
-fn tool(global: GlobalArgs) -> Result<Tool> {
-    let token = token_text(&global)?;
-    let token = token.map(|text| Token::new(&text)).transpose().map_err(Error::Usage)?;
+fn create_context(global: GlobalArgs) -> Result<Context> {
+    let token = read_token(&global)?;
+    let token = token.map(|text| BearerToken::new(&text)).transpose().map_err(Error::Usage)?;
     let client = Client::new(global.server, token, global.timeout);
-    Ok(Tool { client, format: global.output })
+    Ok(Context { client, format: global.output })
 }
 
 /// The text of the token: as given directly, else from the file.
-fn token_text(global: &GlobalArgs) -> Result<Option<String>> {
+fn read_token(global: &GlobalArgs) -> Result<Option<String>> {
     if let Some(token) = &global.token {
         return Ok(Some(token.clone()));
     }
--- a/lilacpass-cli/src/commands/audit.rs
+++ b/lilacpass-cli/src/commands/audit.rs
@@ -7,16 +7,16 @@
 use crate::{
     api::path,
     args::AuditArgs,
-    commands::{Tool, jobs::matches},
+    commands::{Context, jobs::matches},
     error::Result,
     report::{self, Report},
     table, units,
 };
 
 /// Lists the entries of the audit trail that pass the filters, the newest last.
-pub async fn run(tool: &mut Tool, args: &AuditArgs, now_unix_ms: u64) -> Result<Report> {
-    let answer = tool.client.get(path::AUDIT).await?;
-    let mut list: v1::AuditList = report::decode(&answer)?;
+pub async fn run(context: &mut Context, args: &AuditArgs, now_unix_ms: u64) -> Result<Report> {
+    let response = context.client.get(path::AUDIT).await?;
+    let mut list: v1::AuditList = report::decode(&response)?;
     list.entries = select(list.entries, args, now_unix_ms);
     Ok(Report::ok(render(&list.entries), report::encode(&list)))
 }
@@ -55,7 +55,7 @@
     let rows = entries.iter().map(|entry| {
         let outcome = if entry.accepted { "accepted" } else { "REFUSED" };
         [
-            units::show_unix_ms(entry.at_unix_ms),
+            units::format_unix_ms(entry.at_unix_ms),
             entry.actor.clone(),
             format!("{} {}", entry.action, entry.subject).trim_end().to_owned(),
             revisions(entry),
--- a/lilacpass-cli/src/commands/cell.rs
+++ b/lilacpass-cli/src/commands/cell.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     api::{path, server::Server},
-    commands::{Tool, status},
+    commands::{Context, status},
     error::{Error, Result},
     report::{self, Report},
     table::{self, DEFAULT_WIDTH},
@@ -16,30 +16,30 @@
 };
 
 /// Asks every server. It fails only where none answers.
-pub async fn run(tool: &mut Tool) -> Result<Report> {
-    let mut answers = Vec::new();
-    for (server, mut client) in tool.client.each() {
-        answers.push((server, client.get(path::STATUS).await));
+pub async fn run(context: &mut Context) -> Result<Report> {
+    let mut responses = Vec::new();
+    for (server, mut client) in context.client.per_server() {
+        responses.push((server, client.get(path::STATUS).await));
     }
-    if let Some(err) = common_failure(&answers) {
+    if let Some(err) = error_if_all_failed(&responses) {
         return Err(err);
     }
-    let json = answers.iter().map(to_json).collect();
-    let views: Vec<(Server, Result<v1::StatusView>)> = answers
+    let json = responses.iter().map(to_json).collect();
+    let views: Vec<(Server, Result<v1::StatusView>)> = responses
         .into_iter()
-        .map(|(server, answer)| (server, answer.and_then(|answer| report::decode(&answer))))
+        .map(|(server, response)| (server, response.and_then(|response| report::decode(&response))))
         .collect();
     Ok(Report::ok(render(&views), json))
 }
 
 /// The last error, where all servers failed.
-fn common_failure(answers: &[(Server, Result<Value>)]) -> Option<Error> {
-    let mut errors = answers.iter().map(|(_, answer)| answer.as_ref().err().cloned());
+fn error_if_all_failed(responses: &[(Server, Result<Value>)]) -> Option<Error> {
+    let mut errors = responses.iter().map(|(_, response)| response.as_ref().err().cloned());
     errors.try_fold(None, |_, error| error.map(Some)).flatten()
 }
 
-fn to_json((server, answer): &(Server, Result<Value>)) -> Value {
-    match answer {
+fn to_json((server, response): &(Server, Result<Value>)) -> Value {
+    match response {
         Ok(status) => json!({ "server": server.to_string(), "status": status }),
         Err(err) => json!({ "server": server.to_string(), "problem": report::error_json(err) }),
     }
@@ -55,31 +55,31 @@
 
 /// What needs a person, and which entry instances say so.
 fn findings(views: &[(Server, Result<v1::StatusView>)]) -> Vec<String> {
-    let mut seen_by: BTreeMap<String, Vec<&str>> = BTreeMap::new();
+    let mut reported_by: BTreeMap<String, Vec<&str>> = BTreeMap::new();
     let mut found = Vec::new();
     for (server, view) in views {
         match view {
             Ok(view) => status::findings(view)
                 .into_iter()
-                .for_each(|finding| seen_by.entry(finding).or_default().push(&view.instance)),
+                .for_each(|finding| reported_by.entry(finding).or_default().push(&view.instance)),
             Err(err) => found.push(format!("{server} has no answer: {err}")),
         }
     }
     let with_names =
         |(finding, names): (String, Vec<&str>)| format!("{finding} [{}]", names.join(" "));
-    found.extend(seen_by.into_iter().map(with_names));
+    found.extend(reported_by.into_iter().map(with_names));
     found
 }
 
 fn instances(statuses: &[&v1::StatusView]) -> String {
-    let yes = |value: bool| if value { "yes" } else { "NO" }.to_owned();
+    let yes_or_no = |value: bool| if value { "yes" } else { "NO" }.to_owned();
     let rows = statuses.iter().map(|status| {
         [
             status.instance.clone(),
             status.data_centre.clone(),
             status.revision.to_string(),
-            yes(status.ready),
-            yes(status.log_reachable),
+            yes_or_no(status.ready),
+            yes_or_no(status.log_reachable),
             status.workers_held.to_string(),
             status::shards(status),
         ]
@@ -94,12 +94,12 @@
     let rows = Class::ALL.into_iter().map(|class| {
         let views =
             || statuses.iter().flat_map(|s| &s.classes).filter(|c| c.class == class.as_str());
-        let most = |of: fn(&v1::ClassView) -> u64| views().map(of).max().unwrap_or(0);
+        let max_of = |of: fn(&v1::ClassView) -> u64| views().map(of).max().unwrap_or(0);
         [
             class.to_string(),
-            most(|view| u64::from(view.waiting)).to_string(),
-            units::show_ms(most(|view| view.oldest_ms)),
-            most(|view| u64::from(view.running)).to_string(),
+            max_of(|view| u64::from(view.waiting)).to_string(),
+            units::format_ms(max_of(|view| view.oldest_ms)),
+            max_of(|view| u64::from(view.running)).to_string(),
         ]
     });
     table::render(DEFAULT_WIDTH, ["CLASS", "MOST WAITING", "OLDEST", "MOST RUNNING"], rows)
--- a/lilacpass-cli/src/commands/change.rs
+++ b/lilacpass-cli/src/commands/change.rs
@@ -7,18 +7,18 @@
 
 use crate::{
     api::{
-        client::{IF_MATCH, Repeat},
+        client::{IF_MATCH, RetryPolicy},
         path,
     },
     args::{ApplyArgs, DiffArgs, DrainArgs},
-    commands::{Tool, files, inventory, overlay},
+    commands::{Context, files, inventory, overlay},
     error::{self, Error, Result},
     report::{self, Report},
     table,
 };
 
 /// Most tries of a drain that loses the race for the revision.
-const MAX_DRAIN_TRIES: u32 = 4;
+const MAX_DRAIN_ATTEMPTS: u32 = 4;
 /// Status of a change whose base is not in force any more.
 const PRECONDITION_FAILED: u32 = 412;
 
@@ -38,14 +38,14 @@
     pub fn new(
         base: Revision,
         current: &v1::Configuration,
-        wanted: &v1::Configuration,
+        desired: &v1::Configuration,
         prune: bool,
     ) -> Self {
         if prune {
-            return Self { base, ops: change::diff(current, wanted), left_in_place: Vec::new() };
+            return Self { base, ops: change::diff(current, desired), left_in_place: Vec::new() };
         }
-        let ops = change::diff(current, &overlay::overlay(current, wanted));
-        let all = change::diff(current, wanted);
+        let ops = change::diff(current, &overlay::overlay(current, desired));
+        let all = change::diff(current, desired);
         Self { base, ops, left_in_place: all.into_iter().filter(is_removal).collect() }
     }
 
@@ -70,23 +70,23 @@
 }
 
 /// Shows what applying a file would change, without asking for it.
-pub async fn diff(tool: &mut Tool, args: &DiffArgs) -> Result<Report> {
-    let plan = plan(tool, args).await?;
+pub async fn diff(context: &mut Context, args: &DiffArgs) -> Result<Report> {
+    let plan = plan(context, args).await?;
     Ok(Report::ok(plan.describe(), plan.to_json()))
 }
 
 /// Puts a file in force, or says what that would do.
-pub async fn apply(tool: &mut Tool, args: &ApplyArgs) -> Result<Report> {
-    let plan = plan(tool, &args.diff).await?;
+pub async fn apply(context: &mut Context, args: &ApplyArgs) -> Result<Report> {
+    let plan = plan(context, &args.diff).await?;
     if plan.ops.is_empty() {
         return Ok(Report::ok(plan.describe(), plan.to_json()));
     }
     let description = plan.describe();
     let request =
         v1::ChangeRequest { ops: plan.ops, reason: args.reason.clone(), dry_run: args.dry_run };
-    let answer = send(tool, plan.base, &request).await?;
-    Report::of_answer(tool.format, answer, |answer: &v1::ChangeAnswer| {
-        format!("{description}\n{}", outcome(answer, args.dry_run))
+    let response = send(context, plan.base, &request).await?;
+    Report::from_response(context.format, response, |response: &v1::ChangeAnswer| {
+        format!("{description}\n{}", outcome(response, args.dry_run))
     })
 }
 
@@ -94,60 +94,65 @@
 ///
 /// It does not depend on the rest of the configuration, so after a lost race it is asked for again
 /// on top of the winner; the refused try had no effect.
-pub async fn drain(tool: &mut Tool, args: &DrainArgs) -> Result<Report> {
+pub async fn drain(context: &mut Context, args: &DrainArgs) -> Result<Report> {
     let drain = v1::DrainWorker { worker: args.worker.to_string(), draining: !args.undo };
     let request = v1::ChangeRequest {
         ops: vec![v1::ConfigOp { op: Some(Op::DrainWorker(drain)) }],
         reason: args.reason.clone(),
         dry_run: args.dry_run,
     };
-    let mut tries = 1;
-    let answer = loop {
-        let base = revision_in_force(tool).await?;
-        match send(tool, base, &request).await {
-            Err(Error::Problem(p)) if error::is_conflict(&p) && tries < MAX_DRAIN_TRIES => {
-                tries += 1;
+    let mut attempts = 1;
+    let response = loop {
+        let base = current_revision(context).await?;
+        match send(context, base, &request).await {
+            Err(Error::Problem(p)) if error::is_conflict(&p) && attempts < MAX_DRAIN_ATTEMPTS => {
+                attempts += 1;
             }
             outcome => break outcome?,
         }
     };
     let verb = if args.undo { "takes new work again" } else { "takes no new work" };
-    Report::of_answer(tool.format, answer, |answer: &v1::ChangeAnswer| {
-        format!("worker {} {verb}\n{}", args.worker, outcome(answer, args.dry_run))
+    Report::from_response(context.format, response, |response: &v1::ChangeAnswer| {
+        format!("worker {} {verb}\n{}", args.worker, outcome(response, args.dry_run))
     })
 }
 
 /// Lists the last accepted changes.
-pub async fn list(tool: &mut Tool) -> Result<Report> {
-    let answer = tool.client.get(path::CHANGES).await?;
-    Report::of_answer(tool.format, answer, render)
+pub async fn list(context: &mut Context) -> Result<Report> {
+    let response = context.client.get(path::CHANGES).await?;
+    Report::from_response(context.format, response, render)
 }
 
 /// Reads a file and compares it with what is in force.
-async fn plan(tool: &mut Tool, args: &DiffArgs) -> Result<Plan> {
+async fn plan(context: &mut Context, args: &DiffArgs) -> Result<Plan> {
     let text = files::read(&args.file)?;
-    let wanted = toml::parse(&text).map_err(|problems| files::refuse(&args.file, &problems))?;
-    let (in_force, current) = inventory::fetch(tool).await?;
-    if let Some(base) = args.base.or_else(|| inventory::exported_at(&text))
-        && base != in_force
+    let desired =
+        toml::parse(&text).map_err(|problems| files::invalid_file(&args.file, &problems))?;
+    let (current_revision, current) = inventory::fetch(context).await?;
+    if let Some(base) = args.base.or_else(|| inventory::exported_revision(&text))
+        && base != current_revision
     {
-        return Err(stale(tool, base, in_force).await);
+        return Err(stale_file_error(context, base, current_revision).await);
     }
-    Ok(Plan::new(in_force, &current, &wanted, args.prune))
+    Ok(Plan::new(current_revision, &current, &desired, args.prune))
 }
 
 /// The error for a file that builds on another revision than the one in force.
 ///
 /// Guards against a lost update: a file that was exported before somebody else's change would
 /// silently take that change back, as the steps are computed against what is in force now.
-async fn stale(tool: &mut Tool, base: Revision, in_force: Revision) -> Error {
-    let changes: v1::ChangeList = match tool.client.get(path::CHANGES).await {
-        Ok(answer) => report::decode(&answer).unwrap_or_default(),
+async fn stale_file_error(
+    context: &mut Context,
+    base: Revision,
+    current_revision: Revision,
+) -> Error {
+    let changes: v1::ChangeList = match context.client.get(path::CHANGES).await {
+        Ok(response) => report::decode(&response).unwrap_or_default(),
         Err(_) => v1::ChangeList::default(),
     };
     let later = changes.changes.into_iter().filter(|change| change.revision > base.0);
     let winner = later.min_by_key(|change| change.revision).map_or(
-        v1::ConflictWinner { revision: in_force.0, ..Default::default() },
+        v1::ConflictWinner { revision: current_revision.0, ..Default::default() },
         |change| v1::ConflictWinner {
             revision: change.revision,
             actor: change.actor,
@@ -156,7 +161,7 @@
     );
     Error::Problem(Box::new(v1::Problem {
         r#type: "tool/stale-file".to_owned(),
-        title: format!("the file builds on revision {base}, and {in_force} is in force"),
+        title: format!("the file builds on revision {base}, and {current_revision} is in force"),
         status: PRECONDITION_FAILED,
         detail: "export it again with `lilacpass inventory`, or name the --base".to_owned(),
         verdict: Verdict::NotRun.to_string(),
@@ -167,31 +172,32 @@
 
 /// Asks for a change. It is never sent to a second server after an answer was lost: the first one
 /// may have appended it.
-async fn send(tool: &mut Tool, base: Revision, request: &v1::ChangeRequest) -> Result<Value> {
+async fn send(context: &mut Context, base: Revision, request: &v1::ChangeRequest) -> Result<Value> {
     let headers = vec![(IF_MATCH, base.to_string())];
-    let sent = tool.client.post(path::CHANGES, headers, request, Repeat::OnlyNotRun).await;
+    let sent =
+        context.client.post(path::CHANGES, headers, request, RetryPolicy::OnlyIfNotRun).await;
     sent.inspect_err(|err| {
-        if matches!(err, Error::Unsettled(_)) {
+        if matches!(err, Error::OutcomeUnknown(_)) {
             eprintln!("lilacpass: see with `lilacpass changes` whether it is in force");
         }
     })
 }
 
-async fn revision_in_force(tool: &mut Tool) -> Result<Revision> {
-    let answer = tool.client.get(path::STATUS).await?;
-    let status: v1::StatusView = report::decode(&answer)?;
+async fn current_revision(context: &mut Context) -> Result<Revision> {
+    let response = context.client.get(path::STATUS).await?;
+    let status: v1::StatusView = report::decode(&response)?;
     Ok(Revision(status.revision))
 }
 
-fn outcome(answer: &v1::ChangeAnswer, dry_run: bool) -> String {
+fn outcome(response: &v1::ChangeAnswer, dry_run: bool) -> String {
     let head = if dry_run {
         "nothing was changed; it would have these effects:".to_owned()
     } else {
-        format!("in force with revision {}", answer.revision)
+        format!("in force with revision {}", response.revision)
     };
     let mut lines = vec![head];
-    lines.extend(answer.effects.iter().map(|effect| format!("  {effect}")));
-    if dry_run && answer.effects.is_empty() {
+    lines.extend(response.effects.iter().map(|effect| format!("  {effect}")));
+    if dry_run && response.effects.is_empty() {
         lines.push("  none on running work".to_owned());
     }
     lines.join("\n")
--- a/lilacpass-cli/src/commands/files.rs
+++ b/lilacpass-cli/src/commands/files.rs
@@ -41,19 +41,19 @@
 }
 
 /// One line for each problem of a file, with its place in the form that editors jump to.
-pub fn describe(path: &str, problems: &[Problem]) -> Vec<String> {
-    problems.iter().map(|problem| format!("{path}:{}", place(problem))).collect()
+pub fn describe_problems(path: &str, problems: &[Problem]) -> Vec<String> {
+    problems.iter().map(|problem| format!("{path}:{}", describe_with_position(problem))).collect()
 }
 
 /// The error for a file with problems. The first line names the first one.
-pub fn refuse(path: &Path, problems: &[Problem]) -> Error {
+pub fn invalid_file(path: &Path, problems: &[Problem]) -> Error {
     let path = path.display().to_string();
-    let lines: Vec<String> = problems.iter().map(place).collect();
+    let lines: Vec<String> = problems.iter().map(describe_with_position).collect();
     let separator = format!("\n{path}:");
     Error::File(path, lines.join(&separator))
 }
 
-fn place(problem: &Problem) -> String {
+fn describe_with_position(problem: &Problem) -> String {
     if problem.line == 0 {
         return format!(" {problem}");
     }
--- a/lilacpass-cli/src/commands/import.rs
+++ b/lilacpass-cli/src/commands/import.rs
@@ -13,12 +13,12 @@
 /// Turns the register into a configuration, on top of the file that `args` name, if any.
 pub fn run(args: &ImportArgs) -> Result<Report> {
     let csv = files::read(&args.file)?;
-    let workers =
-        inventory::parse_csv(&csv).map_err(|problems| files::refuse(&args.file, &problems))?;
+    let workers = inventory::parse_csv(&csv)
+        .map_err(|problems| files::invalid_file(&args.file, &problems))?;
     let base = match &args.into {
         Some(path) => {
             let text = files::read(path)?;
-            inventory::parse(&text).map_err(|problems| files::refuse(path, &problems))?
+            inventory::parse(&text).map_err(|problems| files::invalid_file(path, &problems))?
         }
         None => v1::Configuration::default(),
     };
@@ -35,16 +35,16 @@
     workers: Vec<v1::WorkerSpec>,
     region: &str,
 ) -> v1::Configuration {
-    let mut over = v1::Configuration::default();
+    let mut overrides = v1::Configuration::default();
     for mut worker in workers {
-        let before = base.workers.iter().find(|known| known.name == worker.name);
-        worker.draining = before.is_some_and(|known| known.draining);
-        let mut known = base.data_centres.iter().chain(&over.data_centres);
+        let previous = base.workers.iter().find(|known| known.name == worker.name);
+        worker.draining = previous.is_some_and(|known| known.draining);
+        let mut known = base.data_centres.iter().chain(&overrides.data_centres);
         if !known.any(|data_centre| data_centre.name == worker.data_centre) {
             let name = worker.data_centre.clone();
-            over.data_centres.push(v1::DataCentre { name, region: region.to_owned() });
+            overrides.data_centres.push(v1::DataCentre { name, region: region.to_owned() });
         }
-        over.workers.push(worker);
+        overrides.workers.push(worker);
     }
-    overlay::overlay(base, &over)
+    overlay::overlay(base, &overrides)
 }
--- a/lilacpass-cli/src/commands/jobs.rs
+++ b/lilacpass-cli/src/commands/jobs.rs
@@ -7,7 +7,7 @@
 use crate::{
     api::path,
     args::JobsArgs,
-    commands::Tool,
+    commands::Context,
     error::Result,
     report::{self, Report},
     table, units,
@@ -19,13 +19,13 @@
 }
 
 /// Lists jobs, or shows one.
-pub async fn list(tool: &mut Tool, args: &JobsArgs) -> Result<Report> {
+pub async fn list(context: &mut Context, args: &JobsArgs) -> Result<Report> {
     if let Some(id) = args.job {
-        let answer = tool.client.get(&path::job(id)).await?;
-        return Report::of_answer(tool.format, answer, describe);
+        let response = context.client.get(&path::job(id)).await?;
+        return Report::from_response(context.format, response, describe);
     }
-    let answer = tool.client.get(path::JOBS).await?;
-    let mut list: v1::JobList = report::decode(&answer)?;
+    let response = context.client.get(path::JOBS).await?;
+    let mut list: v1::JobList = report::decode(&response)?;
     let class = args.class.map(Class::from);
     list.jobs.retain(|job| {
         matches(args.team.as_deref(), &job.team)
@@ -36,18 +36,18 @@
 }
 
 /// Says why a job waits.
-pub async fn explain(tool: &mut Tool, id: JobId) -> Result<Report> {
-    let answer = tool.client.get(&path::explain(id)).await?;
-    Report::of_answer(tool.format, answer, render_explanation)
+pub async fn explain(context: &mut Context, id: JobId) -> Result<Report> {
+    let response = context.client.get(&path::explain(id)).await?;
+    Report::from_response(context.format, response, render_explanation)
 }
 
 /// Cancels a job. Its state afterwards tells whether it had run.
-pub async fn cancel(tool: &mut Tool, id: JobId) -> Result<Report> {
-    let answer = tool.client.delete(&path::job(id)).await?;
-    if answer == Value::Null {
-        return Ok(Report::ok(format!("job {id} is cancelled"), answer));
+pub async fn cancel(context: &mut Context, id: JobId) -> Result<Report> {
+    let response = context.client.delete(&path::job(id)).await?;
+    if response == Value::Null {
+        return Ok(Report::ok(format!("job {id} is cancelled"), response));
     }
-    Report::of_answer(tool.format, answer, describe)
+    Report::from_response(context.format, response, describe)
 }
 
 /// Whether a filter is absent or asks for `value`.
@@ -106,7 +106,7 @@
     let v1::Explanation { job_id, state, reason, remedy, waiting_ms, ahead } = explanation;
     let mut lines = vec![format!("job      {job_id}"), format!("state    {state}")];
     if *waiting_ms > 0 {
-        lines.push(format!("waiting  {}, {ahead} ahead of it", units::show_ms(*waiting_ms)));
+        lines.push(format!("waiting  {}, {ahead} ahead of it", units::format_ms(*waiting_ms)));
     }
     if !reason.is_empty() {
         lines.push(format!("reason   {reason}"));
--- a/lilacpass-cli/src/commands/status.rs
+++ b/lilacpass-cli/src/commands/status.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     api::path,
-    commands::Tool,
+    commands::Context,
     error::Result,
     report::Report,
     table::{self, DEFAULT_WIDTH},
@@ -18,9 +18,9 @@
 const MAX_NAMES: usize = 12;
 
 /// Shows the state of the cell as the server sees it.
-pub async fn run(tool: &mut Tool) -> Result<Report> {
-    let answer = tool.client.get(path::STATUS).await?;
-    Report::of_answer(tool.format, answer, render)
+pub async fn run(context: &mut Context) -> Result<Report> {
+    let response = context.client.get(path::STATUS).await?;
+    Report::from_response(context.format, response, render)
 }
 
 /// The state as text, as one entry instance sees it: first what needs a person, then the rest. No line is longer than 80
@@ -56,27 +56,30 @@
         found.push(format!("{} is not ready and takes no traffic", status.instance));
     }
     if !status.log_reachable {
-        found.push(format!("log service not reachable, last answer {}", ago(status.log_silent_ms)));
+        found.push(format!(
+            "log service not reachable, last answer {}",
+            format_age(status.log_silent_ms)
+        ));
     }
-    found.extend(status.holdings.iter().filter_map(holding_trouble));
-    found.extend(named("silent watchers", &status.silent_watchers));
-    found.extend(named("workers in quarantine", &status.quarantined_workers));
+    found.extend(status.holdings.iter().filter_map(holding_finding));
+    found.extend(count_and_names("silent watchers", &status.silent_watchers));
+    found.extend(count_and_names("workers in quarantine", &status.quarantined_workers));
     let silent = |member: &&v1::MemberView| member.state == "silent";
     let members: Vec<String> =
         status.members.iter().filter(silent).map(|member| member.name.clone()).collect();
-    found.extend(named("silent members", &members));
+    found.extend(count_and_names("silent members", &members));
     let behind: Vec<String> = status
         .members
         .iter()
         .filter(|member| member.state == "alive" && member.revision < status.revision)
         .map(|member| format!("{} (at {})", member.name, member.revision))
         .collect();
-    found.extend(named(&format!("members behind revision {}", status.revision), &behind));
+    found.extend(count_and_names(&format!("members behind revision {}", status.revision), &behind));
     found
 }
 
 /// What a way of holding other than the lease means for the work.
-fn holding_trouble(holding: &v1::HoldingView) -> Option<String> {
+fn holding_finding(holding: &v1::HoldingView) -> Option<String> {
     let shards = holding.shards;
     match holding.mode.as_str() {
         _ if shards == 0 => None,
@@ -90,7 +93,7 @@
 }
 
 /// A count and the names behind it, where there are any.
-fn named(what: &str, names: &[String]) -> Option<String> {
+fn count_and_names(what: &str, names: &[String]) -> Option<String> {
     if names.is_empty() {
         return None;
     }
@@ -108,7 +111,7 @@
     let (held, total) = (status.workers_held, status.workers_total);
     [
         format!("asked     {instance} in {data_centre}, revision {revision}"),
-        format!("log       {log}, last answer {}", ago(status.log_silent_ms)),
+        format!("log       {log}, last answer {}", format_age(status.log_silent_ms)),
         format!("workers   {held} held here of {total} in the cell"),
         format!("shards    {}", shards(status)),
         format!("jobs      {} running", status.jobs_running),
@@ -124,10 +127,10 @@
 }
 
 /// The time since something was last heard; the greatest number stands for never.
-fn ago(silent_ms: u64) -> String {
+fn format_age(silent_ms: u64) -> String {
     match silent_ms {
         u64::MAX => "never".to_owned(),
-        _ => format!("{} ago", units::show_ms(silent_ms)),
+        _ => format!("{} ago", units::format_ms(silent_ms)),
     }
 }
 
@@ -159,17 +162,17 @@
             member.data_centre.clone(),
             member.state.clone(),
             member.revision.to_string(),
-            heard(member),
+            last_heard(member),
         ]
     });
     table::render(DEFAULT_WIDTH, ["MEMBER", "DATA CENTRE", "STATE", "REVISION", "HEARD"], rows)
 }
 
 /// When a member was last heard; a silent one without a time never was.
-fn heard(member: &v1::MemberView) -> String {
+fn last_heard(member: &v1::MemberView) -> String {
     match member.silent_ms {
         0 if member.state == "silent" => "never".to_owned(),
-        silent_ms => ago(silent_ms),
+        silent_ms => format_age(silent_ms),
     }
 }
 
@@ -181,7 +184,7 @@
     let rows = classes.into_iter().map(|class| {
         let oldest = match class.waiting {
             0 => "-".to_owned(),
-            _ => units::show_ms(class.oldest_ms),
+            _ => units::format_ms(class.oldest_ms),
         };
         [class.class.clone(), class.waiting.to_string(), oldest, class.running.to_string()]
     });
--- a/lilacpass-cli/src/commands/submit.rs
+++ b/lilacpass-cli/src/commands/submit.rs
@@ -7,11 +7,11 @@
 
 use crate::{
     api::{
-        client::{IDEMPOTENCY_KEY, Repeat},
+        client::{IDEMPOTENCY_KEY, RetryPolicy},
         path,
     },
     args::{ClassArg, SubmitArgs, WaitArgs},
-    commands::{Tool, files, jobs, wait},
+    commands::{Context, files, jobs, wait},
     error::{Error, Result},
     exit::Exit,
     report::{self, Report},
@@ -19,67 +19,68 @@
 };
 
 /// Submits what `args` describe.
-pub async fn run(tool: &mut Tool, args: &SubmitArgs) -> Result<Report> {
+pub async fn run(context: &mut Context, args: &SubmitArgs) -> Result<Report> {
     let spec = job_spec(args)?;
     // A key is always sent, so that a call that is repeated names the same job.
     let key = args.key.clone().unwrap_or_else(random_key);
     if args.wait_answer {
-        return quick(tool, args, &spec, key).await;
+        return send_quick_request(context, args, &spec, key).await;
     }
     let headers = vec![(IDEMPOTENCY_KEY, key.clone())];
-    let answer = tool
+    let response = context
         .client
-        .post(path::JOBS, headers, &spec, Repeat::Safe)
+        .post(path::JOBS, headers, &spec, RetryPolicy::Idempotent)
         .await
-        .inspect_err(|err| advise_same_key(err, &key))?;
-    let job: v1::JobView = report::decode(&answer)?;
+        .inspect_err(|err| suggest_same_key(err, &key))?;
+    let job: v1::JobView = report::decode(&response)?;
     if args.follow {
-        return follow(tool, &job).await;
+        return follow(context, &job).await;
     }
     let human = format!("job {} {}", job.job_id, job.state);
-    Ok(Report { exit: accepted(&job), ..Report::ok(human, answer) })
+    Ok(Report { exit: exit_for_accepted(&job), ..Report::ok(human, response) })
 }
 
 /// Sends a quick request and prints its result.
-async fn quick(
-    tool: &mut Tool,
+async fn send_quick_request(
+    context: &mut Context,
     args: &SubmitArgs,
     spec: &v1::JobSpec,
     key: String,
 ) -> Result<Report> {
     let headers = vec![(IDEMPOTENCY_KEY, key)];
     // Without an append to the log, servers don't know the key of a quick request of another one.
-    let repeat = if spec.idempotent { Repeat::Safe } else { Repeat::OnlyNotRun };
-    let client = &mut tool.client;
-    let answer = match args.deadline {
+    let retry_policy =
+        if spec.idempotent { RetryPolicy::Idempotent } else { RetryPolicy::OnlyIfNotRun };
+    let client = &mut context.client;
+    let response = match args.deadline {
         Some(deadline) => {
-            client.post_within(path::REQUESTS, headers, spec, repeat, deadline).await?
+            client.post_with_deadline(path::REQUESTS, headers, spec, retry_policy, deadline).await?
         }
-        None => client.post(path::REQUESTS, headers, spec, repeat).await?,
+        None => client.post(path::REQUESTS, headers, spec, retry_policy).await?,
     };
-    let quick: v1::QuickAnswer = report::decode(&answer)?;
+    let quick: v1::QuickAnswer = report::decode(&response)?;
     let exit = match quick.verdict.parse() {
         Ok(Verdict::Ran) => Exit::Ok,
-        _ => Exit::of_verdict(&quick.verdict),
+        _ => Exit::from_verdict(&quick.verdict),
     };
-    Ok(Report { exit, ..Report::ok(quick.result, answer) })
+    Ok(Report { exit, ..Report::ok(quick.result, response) })
 }
 
 /// Waits for the end of a job that was just accepted.
-async fn follow(tool: &mut Tool, job: &v1::JobView) -> Result<Report> {
-    let id: JobId = job.job_id.parse().map_err(|err| Error::Unreadable(format!("{err}")))?;
+async fn follow(context: &mut Context, job: &v1::JobView) -> Result<Report> {
+    let id: JobId = job.job_id.parse().map_err(|err| Error::InvalidResponse(format!("{err}")))?;
     eprintln!("lilacpass: job {id}");
-    wait::run(tool, &WaitArgs { job: id, limit: None, quiet: false }).await
+    wait::run(context, &WaitArgs { job: id, limit: None, quiet: false }).await
 }
 
 /// The exit for a job that was accepted: success, unless the same key had named it before and it
 /// has ended badly since.
-fn accepted(job: &v1::JobView) -> Exit {
-    if jobs::has_ended(job) { Exit::of_job(job) } else { Exit::Ok }
+fn exit_for_accepted(job: &v1::JobView) -> Exit {
+    if jobs::has_ended(job) { Exit::from_job(job) } else { Exit::Ok }
 }
 
 /// Tells how to find out about a submission that is in doubt.
-fn advise_same_key(err: &Error, key: &str) {
+fn suggest_same_key(err: &Error, key: &str) {
     if err.exit() == Exit::MayHaveRun {
         eprintln!(
             "lilacpass: submit again with --key {key} to get the same job, never a second one"
@@ -95,13 +96,13 @@
         kind: args.kind.clone(),
         class: class(args).to_string(),
         tasks: args.tasks,
-        each: each(args),
+        each: task_size(args),
         run_ms: args.run.map_or(0, units::ms),
         idempotent: args.idempotent,
         checkpointable: args.checkpointable,
         standing: args.standing,
         data_centre: args.data_centre.clone(),
-        payload: payload(&args.payload)?,
+        payload: read_payload(&args.payload)?,
     })
 }
 
@@ -115,7 +116,7 @@
 }
 
 /// The declared size; none where nothing is declared, so that the service's default holds.
-fn each(args: &SubmitArgs) -> Option<v1::Amount> {
+fn task_size(args: &SubmitArgs) -> Option<v1::Amount> {
     let SubmitArgs { cpu, memory, accelerators, slots, .. } = args;
     let declared = cpu.is_some() || memory.is_some() || accelerators.is_some() || slots.is_some();
     declared.then(|| v1::Amount {
@@ -126,7 +127,7 @@
     })
 }
 
-fn payload(text: &str) -> Result<String> {
+fn read_payload(text: &str) -> Result<String> {
     match text.strip_prefix('@') {
         Some(path) => files::read(Path::new(path)),
         None => Ok(text.to_owned()),
--- a/lilacpass-cli/src/commands/wait.rs
+++ b/lilacpass-cli/src/commands/wait.rs
@@ -9,7 +9,7 @@
 use crate::{
     api::path,
     args::WaitArgs,
-    commands::{Tool, jobs},
+    commands::{Context, jobs},
     error::{Error, Result},
     exit::Exit,
     report::{self, Report},
@@ -17,78 +17,83 @@
 };
 
 /// Longest time that a server holds one call for news.
-const LONGEST_CALL: Duration = Duration::from_secs(10);
+const MAX_HOLD: Duration = Duration::from_secs(10);
 /// Time that the answer may take beyond that, before the server counts as lost.
-const ANSWER_MARGIN: Duration = Duration::from_secs(5);
+const RESPONSE_MARGIN: Duration = Duration::from_secs(5);
 /// Time after which progress is shown although nothing has changed.
-const SIGN_OF_LIFE: Duration = Duration::from_secs(60);
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(60);
 /// Pause after all servers failed.
-const PAUSE: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Waits until the job has ended, or the limit of `args` is reached.
-pub async fn run(tool: &mut Tool, args: &WaitArgs) -> Result<Report> {
+pub async fn run(context: &mut Context, args: &WaitArgs) -> Result<Report> {
     let started = Instant::now();
-    let patience = tool.client.timeout();
-    let mut watch =
-        Watch { args, last_seen: started, known: false, shown: String::new(), shown_at: started };
+    let max_outage = context.client.timeout();
+    let mut watch = JobWatch {
+        args,
+        last_seen: started,
+        found: false,
+        last_line: String::new(),
+        last_line_at: started,
+    };
     loop {
-        let left = time_left(args.limit, started.elapsed());
-        let asked = Instant::now();
+        let remaining = remaining_time(args.limit, started.elapsed());
+        let requested_at = Instant::now();
         // The first look holds no call, so that a person sees at once how things stand.
-        let hold = if watch.known { left } else { Duration::ZERO };
-        match ask(tool, args, hold).await {
-            Ok((job, answer)) => {
-                watch.seen(&job, started.elapsed());
-                if jobs::has_ended(&job) || left.is_zero() {
-                    return Ok(ended(&job, answer));
+        let hold = if watch.found { remaining } else { Duration::ZERO };
+        match fetch_job(context, args, hold).await {
+            Ok((job, response)) => {
+                watch.record_job(&job, started.elapsed());
+                if jobs::has_ended(&job) || remaining.is_zero() {
+                    return Ok(ended_report(&job, response));
                 }
                 // A server that answers at once, instead of holding the call, is not asked in a loop.
-                if !hold.is_zero() && asked.elapsed() < PAUSE {
-                    time::sleep(PAUSE.min(left)).await;
+                if !hold.is_zero() && requested_at.elapsed() < RETRY_DELAY {
+                    time::sleep(RETRY_DELAY.min(remaining)).await;
                 }
             }
             Err(err) => {
-                let out_of_sight = watch.last_seen.elapsed();
-                if !watch.may_pass(&err) || out_of_sight >= patience || left.is_zero() {
+                let outage = watch.last_seen.elapsed();
+                if !watch.is_transient(&err) || outage >= max_outage || remaining.is_zero() {
                     return Err(err);
                 }
-                watch.lost(&err);
-                time::sleep(PAUSE.min(left)).await;
+                watch.report_error(&err);
+                time::sleep(RETRY_DELAY.min(remaining)).await;
             }
         }
     }
 }
 
 /// What is known of the job so far.
-struct Watch<'a> {
+struct JobWatch<'a> {
     args: &'a WaitArgs,
     last_seen: Instant,
     /// Whether any server has shown the job.
-    known: bool,
+    found: bool,
     /// The last line of progress, and when it was shown.
-    shown: String,
-    shown_at: Instant,
+    last_line: String,
+    last_line_at: Instant,
 }
 
-impl Watch<'_> {
+impl JobWatch<'_> {
     /// Takes note of the job, and shows a line of progress where its state has changed.
-    fn seen(&mut self, job: &v1::JobView, waited: Duration) {
+    fn record_job(&mut self, job: &v1::JobView, elapsed: Duration) {
         self.last_seen = Instant::now();
-        self.known = true;
+        self.found = true;
         let reason =
             if job.reason.is_empty() { String::new() } else { format!(": {}", job.reason) };
         let line = format!("{}{reason}", job.state);
-        let is_news = line != self.shown || self.shown_at.elapsed() >= SIGN_OF_LIFE;
-        if !is_news || self.args.quiet || jobs::has_ended(job) {
+        let is_due = line != self.last_line || self.last_line_at.elapsed() >= PROGRESS_INTERVAL;
+        if !is_due || self.args.quiet || jobs::has_ended(job) {
             return;
         }
-        eprintln!("lilacpass: after {}: {line}", units::show_ms(units::ms(waited)));
-        self.shown = line;
-        self.shown_at = Instant::now();
+        eprintln!("lilacpass: after {}: {line}", units::format_ms(units::ms(elapsed)));
+        self.last_line = line;
+        self.last_line_at = Instant::now();
     }
 
     /// Shows that no server answers.
-    fn lost(&self, err: &Error) {
+    fn report_error(&self, err: &Error) {
         if !self.args.quiet {
             eprintln!("lilacpass: {err}; still trying");
         }
@@ -98,14 +103,14 @@
     ///
     /// A job that was seen and is now unknown is one: the next server may not have read the log as
     /// far as the one that was lost.
-    fn may_pass(&self, err: &Error) -> bool {
+    fn is_transient(&self, err: &Error) -> bool {
         const NOT_FOUND: u32 = 404;
         const TOO_MANY_REQUESTS: u32 = 429;
         const FIRST_SERVER_ERROR: u32 = 500;
         match err {
-            Error::Unreachable(_) | Error::NoAnswer(_) => true,
+            Error::Unreachable(_) | Error::NoResponse(_) => true,
             Error::Problem(problem) => match problem.status {
-                NOT_FOUND => self.known,
+                NOT_FOUND => self.found,
                 status => status == TOO_MANY_REQUESTS || status >= FIRST_SERVER_ERROR,
             },
             _ => false,
@@ -114,18 +119,22 @@
 }
 
 /// Asks for the job once, holding the call for news as long as `hold`.
-async fn ask(tool: &mut Tool, args: &WaitArgs, hold: Duration) -> Result<(v1::JobView, Value)> {
-    let hold = LONGEST_CALL.min(hold);
+async fn fetch_job(
+    context: &mut Context,
+    args: &WaitArgs,
+    hold: Duration,
+) -> Result<(v1::JobView, Value)> {
+    let hold = MAX_HOLD.min(hold);
     let path = path::wait(args.job, units::ms(hold));
-    let answer = tool.client.get_within(&path, hold + ANSWER_MARGIN).await?;
-    Ok((report::decode(&answer)?, answer))
+    let response = context.client.get_with_timeout(&path, hold + RESPONSE_MARGIN).await?;
+    Ok((report::decode(&response)?, response))
 }
 
 /// Time until the limit; without one, always as long as a call takes.
-fn time_left(limit: Option<Duration>, waited: Duration) -> Duration {
-    limit.map_or(LONGEST_CALL, |limit| limit.saturating_sub(waited))
+fn remaining_time(limit: Option<Duration>, elapsed: Duration) -> Duration {
+    limit.map_or(MAX_HOLD, |limit| limit.saturating_sub(elapsed))
 }
 
-fn ended(job: &v1::JobView, answer: Value) -> Report {
-    Report { exit: Exit::of_job(job), ..Report::ok(jobs::describe(job), answer) }
+fn ended_report(job: &v1::JobView, response: Value) -> Report {
+    Report { exit: Exit::from_job(job), ..Report::ok(jobs::describe(job), response) }
 }
--- a/lilacpass-cli/src/commands/workers.rs
+++ b/lilacpass-cli/src/commands/workers.rs
@@ -5,16 +5,16 @@
 use crate::{
     api::path,
     args::WorkersArgs,
-    commands::{Tool, jobs::matches},
+    commands::{Context, jobs::matches},
     error::{Error, Result},
     report::{self, Report},
     table, units,
 };
 
 /// Lists workers, or shows one with its tasks.
-pub async fn run(tool: &mut Tool, args: &WorkersArgs) -> Result<Report> {
-    let answer = tool.client.get(path::WORKERS).await?;
-    let mut list: v1::WorkerList = report::decode(&answer)?;
+pub async fn run(context: &mut Context, args: &WorkersArgs) -> Result<Report> {
+    let response = context.client.get(path::WORKERS).await?;
+    let mut list: v1::WorkerList = report::decode(&response)?;
     if let Some(name) = &args.worker {
         let worker = list.workers.iter().find(|worker| worker.name == name.as_str());
         let worker = worker.ok_or_else(|| Error::Usage(format!("there is no worker {name}")))?;
@@ -38,8 +38,8 @@
             worker.data_centre.clone(),
             worker.state.clone(),
             worker.holder.clone(),
-            format!("{}/{}", units::show_cores(given.cpu_milli), cores(&capacity)),
-            format!("{}/{}", units::show_memory(given.memory_mib), memory(&capacity)),
+            format!("{}/{}", units::format_cores(given.cpu_milli), cores(&capacity)),
+            format!("{}/{}", units::format_memory(given.memory_mib), memory(&capacity)),
             format!("{}/{}", given.slots, capacity.slots),
         ]
     });
@@ -55,8 +55,12 @@
         format!("place    {}, rack {}", worker.data_centre, worker.rack),
         format!("state    {}", worker.state),
         format!("holder   {}, epoch {}", worker.holder, worker.epoch),
-        format!("cores    {} given of {}", units::show_cores(given.cpu_milli), cores(&capacity)),
-        format!("memory   {} given of {}", units::show_memory(given.memory_mib), memory(&capacity)),
+        format!("cores    {} given of {}", units::format_cores(given.cpu_milli), cores(&capacity)),
+        format!(
+            "memory   {} given of {}",
+            units::format_memory(given.memory_mib),
+            memory(&capacity)
+        ),
         format!("accel.   {} given of {}", given.accelerators, capacity.accelerators),
         format!("slots    {} given of {}", given.slots, capacity.slots),
     ];
@@ -73,9 +77,9 @@
 }
 
 fn cores(amount: &v1::Amount) -> String {
-    units::show_cores(amount.cpu_milli)
+    units::format_cores(amount.cpu_milli)
 }
 
 fn memory(amount: &v1::Amount) -> String {
-    units::show_memory(amount.memory_mib)
+    units::format_memory(amount.memory_mib)
 }
--- a/lilacpass-cli/src/error.rs
+++ b/lilacpass-cli/src/error.rs
@@ -31,15 +31,15 @@
             display("no server can be reached: {detail}")
         }
         /// A question was sent that changes nothing, and no answer came.
-        NoAnswer(detail: String) {
+        NoResponse(detail: String) {
             display("no answer: {detail}")
         }
         /// A request was sent, no answer came, and nothing proves that it had no effect.
-        Unsettled(detail: String) {
+        OutcomeUnknown(detail: String) {
             display("no answer, and it may have run: {detail}")
         }
         /// The answer is not what this version of the tool understands.
-        Unreadable(detail: String) {
+        InvalidResponse(detail: String) {
             display(
                 "the answer can't be read ({detail}); the server may be of another version, \
                  --output json shows its answer as it came"
@@ -54,9 +54,9 @@
         match self {
             Self::Usage(_) | Self::File(..) => Exit::Usage,
             Self::Problem(problem) if is_conflict(problem) => Exit::Conflict,
-            Self::Problem(problem) => Exit::of_verdict(&problem.verdict),
-            Self::Unreachable(_) | Self::NoAnswer(_) => Exit::Unreachable,
-            Self::Unsettled(_) | Self::Unreadable(_) => Exit::MayHaveRun,
+            Self::Problem(problem) => Exit::from_verdict(&problem.verdict),
+            Self::Unreachable(_) | Self::NoResponse(_) => Exit::Unreachable,
+            Self::OutcomeUnknown(_) | Self::InvalidResponse(_) => Exit::MayHaveRun,
         }
     }
 
@@ -83,9 +83,9 @@
             Self::File(..) => "tool/file",
             Self::Problem(_) => "about:blank",
             Self::Unreachable(_) => "tool/unreachable",
-            Self::NoAnswer(_) => "tool/no-answer",
-            Self::Unsettled(_) => "tool/unsettled",
-            Self::Unreadable(_) => "tool/unreadable",
+            Self::NoResponse(_) => "tool/no-answer",
+            Self::OutcomeUnknown(_) => "tool/unsettled",
+            Self::InvalidResponse(_) => "tool/unreadable",
         }
     }
 }
--- a/lilacpass-cli/src/exit.rs
+++ b/lilacpass-cli/src/exit.rs
@@ -41,7 +41,7 @@
     /// The exit for a request that did not succeed, from its verdict as text.
     ///
     /// A missing or unknown verdict proves nothing, so it counts as "may have run".
-    pub fn of_verdict(verdict: &str) -> Self {
+    pub fn from_verdict(verdict: &str) -> Self {
         match verdict.parse() {
             Ok(Verdict::NotRun) => Self::NotRun,
             Ok(Verdict::Ran) => Self::Failed,
@@ -50,10 +50,10 @@
     }
 
     /// The exit for a job that has ended. A job that has not ended counts as "may have run".
-    pub fn of_job(job: &v1::JobView) -> Self {
+    pub fn from_job(job: &v1::JobView) -> Self {
         match job.state.as_str() {
             "succeeded" => Self::Ok,
-            "failed" | "cancelled" => Self::of_verdict(&job.verdict),
+            "failed" | "cancelled" => Self::from_verdict(&job.verdict),
             _ => Self::MayHaveRun,
         }
     }
--- a/lilacpass-cli/src/report.rs
+++ b/lilacpass-cli/src/report.rs
@@ -42,16 +42,16 @@
     /// A report of success on an `answer` of the server, which `render` makes readable.
     ///
     /// With [`Format::Json`] the answer is passed on without being understood.
-    pub fn of_answer<T: DeserializeOwned>(
+    pub fn from_response<T: DeserializeOwned>(
         format: Format,
-        answer: Value,
+        response: Value,
         render: impl FnOnce(&T) -> String,
     ) -> Result<Self> {
         if format == Format::Json {
-            return Ok(Self::ok("", answer));
+            return Ok(Self::ok("", response));
         }
-        let view = decode(&answer)?;
-        Ok(Self::ok(render(&view), answer))
+        let view = decode(&response)?;
+        Ok(Self::ok(render(&view), response))
     }
 
     /// Writes the report to `out` in the form asked for.
@@ -66,7 +66,7 @@
 
 /// Reads a JSON value as a message of the schema.
 pub fn decode<T: DeserializeOwned>(value: &Value) -> Result<T> {
-    T::deserialize(value).map_err(|err| Error::Unreadable(err.to_string()))
+    T::deserialize(value).map_err(|err| Error::InvalidResponse(err.to_string()))
 }
 
 /// Writes a message of the schema as a JSON value.
--- a/lilacpass-cli/src/table.rs
+++ b/lilacpass-cli/src/table.rs
@@ -9,14 +9,14 @@
 
 /// Columns of the terminal, as the shell exports them in `COLUMNS`.
 pub fn terminal_width() -> u16 {
-    const NARROWEST: u16 = 40;
+    const MIN_WIDTH: u16 = 40;
     let columns = env::var("COLUMNS").ok().and_then(|text| text.parse().ok());
-    columns.unwrap_or(DEFAULT_WIDTH).max(NARROWEST)
+    columns.unwrap_or(DEFAULT_WIDTH).max(MIN_WIDTH)
 }
 
 /// Longest name that is kept in one piece in the first column, such as the id of a job, which
 /// people copy from there.
-const LONGEST_WHOLE_NAME: u16 = 36;
+const MAX_UNWRAPPED_CHARS: u16 = 36;
 
 /// Lays out rows under a header; long cells are wrapped, those of the first column last.
 pub fn render<const N: usize>(
@@ -34,7 +34,7 @@
     let first_width = table.column_max_content_widths().first().copied().unwrap_or_default();
     for (index, column) in table.column_iter_mut().enumerate() {
         column.set_padding((0, 2));
-        if index == 0 && first_width <= LONGEST_WHOLE_NAME {
+        if index == 0 && first_width <= MAX_UNWRAPPED_CHARS {
             column.set_constraint(ColumnConstraint::ContentWidth);
         }
     }
@@ -43,9 +43,9 @@
 
 /// Breaks a list of words into lines of at most `width` characters, indented after the first. A
 /// word that is longer than a line is broken too.
-pub fn wrap(lead: &str, words: &[String], width: usize) -> String {
+pub fn wrap(first_words: &str, words: &[String], width: usize) -> String {
     const INDENT: &str = "    ";
-    let mut lines = vec![lead.to_owned()];
+    let mut lines = vec![first_words.to_owned()];
     let pieces = words.iter().flat_map(|word| chunks(word, width - INDENT.len()));
     for piece in pieces {
         let fits = |line: &String| line.chars().count() + 1 + piece.chars().count() <= width;
--- a/lilacpass-cli/src/units.rs
+++ b/lilacpass-cli/src/units.rs
@@ -17,41 +17,41 @@
 
 /// Reads a duration with its unit, such as `250ms`, `90s`, `15m`, `8h` or `30d`.
 pub fn parse_duration(text: &str) -> Result<Duration, String> {
-    let refused = || format!("{text:?} is no duration: give a whole number and ms, s, m, h or d");
+    let invalid = || format!("{text:?} is no duration: give a whole number and ms, s, m, h or d");
     let (digits, unit_ms) = DURATION_UNITS
         .iter()
         .find_map(|(unit, ms)| text.strip_suffix(unit).map(|digits| (digits, *ms)))
-        .ok_or_else(refused)?;
-    let count: u64 = digits.parse().map_err(|_| refused())?;
-    count.checked_mul(unit_ms).map(Duration::from_millis).ok_or_else(refused)
+        .ok_or_else(invalid)?;
+    let count: u64 = digits.parse().map_err(|_| invalid())?;
+    count.checked_mul(unit_ms).map(Duration::from_millis).ok_or_else(invalid)
 }
 
 /// Reads processors: cores such as `2` or `1.5`, or thousandths such as `500m`.
 pub fn parse_cpu(text: &str) -> Result<Millicores, String> {
-    const MOST_CORES: f64 = 1e6;
+    const MAX_CORES: f64 = 1e6;
     if text.ends_with(Millicores::UNIT) {
         return text.parse().map_err(|err| format!("{err}"));
     }
     let cores: f64 = text.parse().map_err(|_| {
         format!("{text:?} is no number of processors: give cores (1.5) or thousandths (1500m)")
     })?;
-    if !(0.0..=MOST_CORES).contains(&cores) {
-        return Err(format!("{text:?} is not between 0 and {MOST_CORES} cores"));
+    if !(0.0..=MAX_CORES).contains(&cores) {
+        return Err(format!("{text:?} is not between 0 and {MAX_CORES} cores"));
     }
     Ok(Millicores((cores * MILLICORES_PER_CORE).round() as u64))
 }
 
 /// Reads memory with its unit, such as `512MiB` or `4GiB`.
 pub fn parse_memory(text: &str) -> Result<Mebibytes, String> {
-    let refused = || format!("{text:?} is no size of memory: give a whole number and MiB or GiB");
+    let invalid = || format!("{text:?} is no size of memory: give a whole number and MiB or GiB");
     if let Some(gib) = text.strip_suffix("GiB") {
-        let gib: u64 = gib.trim_end().parse().map_err(|_| refused())?;
-        return gib.checked_mul(MIB_PER_GIB).map(Mebibytes).ok_or_else(refused);
+        let gib: u64 = gib.trim_end().parse().map_err(|_| invalid())?;
+        return gib.checked_mul(MIB_PER_GIB).map(Mebibytes).ok_or_else(invalid);
     }
     if !text.ends_with(Mebibytes::UNIT) {
-        return Err(refused());
+        return Err(invalid());
     }
-    text.parse().map_err(|_| refused())
+    text.parse().map_err(|_| invalid())
 }
 
 /// Milliseconds of a duration, for the fields that end in `_ms`.
@@ -60,7 +60,7 @@
 }
 
 /// A duration in at most two units, such as `420ms`, `12s`, `3m 20s` or `2d 4h`.
-pub fn show_ms(ms: u64) -> String {
+pub fn format_ms(ms: u64) -> String {
     match ms {
         0..MS_PER_S => format!("{ms}ms"),
         MS_PER_S..MS_PER_MIN => format!("{}s", ms / MS_PER_S),
@@ -71,12 +71,12 @@
 }
 
 /// Cores of a number of thousandths, such as `1.5`.
-pub fn show_cores(cpu_milli: u64) -> String {
+pub fn format_cores(cpu_milli: u64) -> String {
     format!("{}", cpu_milli as f64 / MILLICORES_PER_CORE)
 }
 
 /// Memory in the largest unit that leaves at most one decimal.
-pub fn show_memory(memory_mib: u64) -> String {
+pub fn format_memory(memory_mib: u64) -> String {
     if memory_mib < MIB_PER_GIB {
         return format!("{memory_mib}MiB");
     }
@@ -84,10 +84,11 @@
 }
 
 /// A moment given in milliseconds since 1970, as `2026-12-02 18:53:38` in UTC.
-pub fn show_unix_ms(unix_ms: u64) -> String {
-    let (days, in_day_s) = (unix_ms / MS_PER_DAY, unix_ms % MS_PER_DAY / MS_PER_S);
+pub fn format_unix_ms(unix_ms: u64) -> String {
+    let (days, second_of_day) = (unix_ms / MS_PER_DAY, unix_ms % MS_PER_DAY / MS_PER_S);
     let (year, month, day) = civil_from_days(days);
-    let (hour, minute, second) = (in_day_s / 3_600, in_day_s / 60 % 60, in_day_s % 60);
+    let (hour, minute, second) =
+        (second_of_day / 3_600, second_of_day / 60 % 60, second_of_day % 60);
     format!("{year:04}-{month:02}-{day:02} {hour:02}:{minute:02}:{second:02}")
 }
 
@@ -103,11 +104,12 @@
     const DAYS_PER_ERA: u64 = 146_097;
     const YEARS_PER_ERA: u64 = 400;
     let shifted = days + DAYS_TO_1970;
-    let (era, in_era) = (shifted / DAYS_PER_ERA, shifted % DAYS_PER_ERA);
-    let year_of_era = (in_era - in_era / 1_460 + in_era / 36_524 - in_era / 146_096) / 365;
-    let in_year = in_era - (365 * year_of_era + year_of_era / 4 - year_of_era / 100);
-    let month_from_march = (5 * in_year + 2) / 153;
-    let day = in_year - (153 * month_from_march + 2) / 5 + 1;
+    let (era, day_of_era) = (shifted / DAYS_PER_ERA, shifted % DAYS_PER_ERA);
+    let year_of_era =
+        (day_of_era - day_of_era / 1_460 + day_of_era / 36_524 - day_of_era / 146_096) / 365;
+    let day_of_year = day_of_era - (365 * year_of_era + year_of_era / 4 - year_of_era / 100);
+    let month_from_march = (5 * day_of_year + 2) / 153;
+    let day = day_of_year - (153 * month_from_march + 2) / 5 + 1;
     let month = if month_from_march < 10 { month_from_march + 3 } else { month_from_march - 9 };
     let year = era * YEARS_PER_ERA + year_of_era + u64::from(month <= 2);
     (year, month, day)
--- a/lilacpass-cli/tests/failover.rs
+++ b/lilacpass-cli/tests/failover.rs
@@ -8,97 +8,100 @@
     Error, Exit,
     api::{
         Client,
-        client::{IDEMPOTENCY_KEY, Repeat},
+        client::{IDEMPOTENCY_KEY, RetryPolicy},
         path,
     },
 };
 use serde_json::json;
-use support::{Fake, Seen, nobody};
+use support::{FakeServer, ReceivedRequest, unused_url};
 
 /// What a server does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Conduct {
-    Gone,
+enum Behaviour {
+    Down,
     /// Takes it and dies before it answers.
-    Dies,
-    Answers,
+    Crashes,
+    Succeeds,
     /// Truthfully says that it did not run what it got.
-    Stopping,
+    ShuttingDown,
     Overloaded,
-    Forbids,
+    Forbidden,
     /// Took it and does not know what became of it.
-    Unsure,
+    Uncertain,
     /// Ran it, and the work failed.
     Failed,
     /// A balancer that lost the server behind it.
-    Gateway,
+    BadGateway,
 }
 
-use Conduct::{Answers, Dies, Failed, Forbids, Gateway, Gone, Overloaded, Stopping, Unsure};
+use Behaviour::{
+    BadGateway, Crashes, Down, Failed, Forbidden, Overloaded, ShuttingDown, Succeeds, Uncertain,
+};
 
-const ALL: [Conduct; 9] =
-    [Gone, Dies, Answers, Stopping, Overloaded, Forbids, Unsure, Failed, Gateway];
+const ALL: [Behaviour; 9] =
+    [Down, Crashes, Succeeds, ShuttingDown, Overloaded, Forbidden, Uncertain, Failed, BadGateway];
 
-impl Conduct {
-    fn start(self) -> Option<Fake> {
+impl Behaviour {
+    fn start(self) -> Option<FakeServer> {
         let problem = |status, verdict: &str| {
-            Fake::always(status, json!({ "status": status, "verdict": verdict }))
+            FakeServer::always(status, json!({ "status": status, "verdict": verdict }))
         };
         Some(match self {
-            Gone => return None,
-            Dies => Fake::dying(),
-            Answers => Fake::always(200, json!({ "verdict": "ran" })),
-            Stopping => problem(503, "not_run"),
+            Down => return None,
+            Crashes => FakeServer::closing(),
+            Succeeds => FakeServer::always(200, json!({ "verdict": "ran" })),
+            ShuttingDown => problem(503, "not_run"),
             Overloaded => problem(429, "not_run"),
-            Forbids => problem(403, "not_run"),
-            Unsure => problem(504, "may_have_run"),
+            Forbidden => problem(403, "not_run"),
+            Uncertain => problem(504, "may_have_run"),
             Failed => problem(502, "ran"),
-            Gateway => problem(502, ""),
+            BadGateway => problem(502, ""),
         })
     }
 
     /// Whether a request that arrived may have had an effect.
-    fn may_take(self) -> bool {
-        matches!(self, Dies | Answers | Unsure | Failed | Gateway)
+    fn may_execute(self) -> bool {
+        matches!(self, Crashes | Succeeds | Uncertain | Failed | BadGateway)
     }
 }
 
 /// A server of each conduct.
-struct Cast {
-    servers: Vec<(Conduct, Option<Fake>)>,
+struct ServerSet {
+    servers: Vec<(Behaviour, Option<FakeServer>)>,
     /// Address of the one that is gone.
-    gone: String,
+    down_url: String,
 }
 
-impl Cast {
+impl ServerSet {
     fn start() -> Self {
-        let servers = ALL.into_iter().map(|conduct| (conduct, conduct.start())).collect();
-        Self { servers, gone: nobody() }
+        let servers = ALL.into_iter().map(|behaviour| (behaviour, behaviour.start())).collect();
+        Self { servers, down_url: unused_url() }
     }
 
-    fn play(&self, index: usize) -> Part<'_> {
-        let (conduct, server) = &self.servers[index % ALL.len()];
-        let url = server.as_ref().map_or(&self.gone, |server| &server.url);
-        let seen_before = server.as_ref().map_or(0, |server| server.seen().len());
-        Part { conduct: *conduct, url, server: server.as_ref(), seen_before }
+    fn pick(&self, index: usize) -> MixedServer<'_> {
+        let (behaviour, server) = &self.servers[index % ALL.len()];
+        let url = server.as_ref().map_or(&self.down_url, |server| &server.url);
+        let received_before = server.as_ref().map_or(0, |server| server.received().len());
+        MixedServer { behaviour: *behaviour, url, server: server.as_ref(), received_before }
     }
 }
 
 /// One server in one mix.
-struct Part<'a> {
-    conduct: Conduct,
+struct MixedServer<'a> {
+    behaviour: Behaviour,
     url: &'a str,
-    server: Option<&'a Fake>,
-    seen_before: usize,
+    server: Option<&'a FakeServer>,
+    received_before: usize,
 }
 
-impl Part<'_> {
-    fn seen(&self) -> Vec<Seen> {
-        self.server.map_or_else(Vec::new, |server| server.seen().split_off(self.seen_before))
+impl MixedServer<'_> {
+    fn received(&self) -> Vec<ReceivedRequest> {
+        self.server
+            .map_or_else(Vec::new, |server| server.received().split_off(self.received_before))
     }
 
-    fn has(&self, conduct: Conduct) -> bool {
-        self.conduct == conduct && !self.seen().is_empty()
+    fn has(&self, behaviour: Behaviour) -> bool {
+        self.behaviour == behaviour && !self.received().is_empty()
     }
 }
 
@@ -108,42 +111,47 @@
 /// server has taken it.
 #[tokio::test]
 async fn no_mix_of_servers_repeats_what_must_not_be_or_denies_what_may_have_run() {
-    let casts = [Cast::start(), Cast::start(), Cast::start()];
-    for repeat in [Repeat::OnlyNotRun, Repeat::Safe] {
+    let server_sets = [ServerSet::start(), ServerSet::start(), ServerSet::start()];
+    for retry_policy in [RetryPolicy::OnlyIfNotRun, RetryPolicy::Idempotent] {
         for index in 0..ALL.len().pow(3) {
-            let [first, second, third] = &casts;
-            let parts = [first.play(index), second.play(index / 9), third.play(index / 81)];
-            check(&parts, repeat).await;
+            let [first, second, third] = &server_sets;
+            let servers = [first.pick(index), second.pick(index / 9), third.pick(index / 81)];
+            check(&servers, retry_policy).await;
         }
     }
 }
 
-async fn check(parts: &[Part<'_>; 3], repeat: Repeat) {
-    let mix: Vec<Conduct> = parts.iter().map(|part| part.conduct).collect();
-    let urls = parts.iter().map(|part| part.url.parse().unwrap()).collect();
+async fn check(servers: &[MixedServer<'_>; 3], retry_policy: RetryPolicy) {
+    let mix: Vec<Behaviour> = servers.iter().map(|server| server.behaviour).collect();
+    let urls = servers.iter().map(|server| server.url.parse().unwrap()).collect();
     let mut client = Client::new(urls, None, Duration::from_secs(20));
     let headers = vec![(IDEMPOTENCY_KEY, "k1".to_owned())];
-    let outcome = client.post(path::JOBS, headers, &json!({}), repeat).await;
+    let outcome = client.post(path::JOBS, headers, &json!({}), retry_policy).await;
     let exit = outcome.as_ref().map_or_else(Error::exit, |_| Exit::Ok);
 
-    let seen: Vec<Seen> = parts.iter().flat_map(Part::seen).collect();
-    assert!(parts.iter().all(|part| part.seen().len() <= 1), "{mix:?}");
-    assert!(seen.iter().all(|request| request.header(IDEMPOTENCY_KEY) == Some("k1")), "{mix:?}");
-    let may_take = |part: &&Part<'_>| part.conduct.may_take() && !part.seen().is_empty();
-    let taken = parts.iter().filter(may_take).count();
-    assert!(repeat == Repeat::Safe || taken <= 1, "{mix:?}");
-    let denied = matches!(exit, Exit::NotRun | Exit::Unreachable);
-    assert!(!denied || taken == 0, "{mix:?} {repeat:?}: {outcome:?}");
-    let has_run = parts.iter().any(|part| part.has(Answers) || part.has(Failed));
+    let received: Vec<ReceivedRequest> = servers.iter().flat_map(MixedServer::received).collect();
+    assert!(servers.iter().all(|server| server.received().len() <= 1), "{mix:?}");
+    assert!(
+        received.iter().all(|request| request.header(IDEMPOTENCY_KEY) == Some("k1")),
+        "{mix:?}"
+    );
+    let may_execute =
+        |server: &&MixedServer<'_>| server.behaviour.may_execute() && !server.received().is_empty();
+    let executed = servers.iter().filter(may_execute).count();
+    assert!(retry_policy == RetryPolicy::Idempotent || executed <= 1, "{mix:?}");
+    let claims_not_run = matches!(exit, Exit::NotRun | Exit::Unreachable);
+    assert!(!claims_not_run || executed == 0, "{mix:?} {retry_policy:?}: {outcome:?}");
+    let has_run = servers.iter().any(|server| server.has(Succeeds) || server.has(Failed));
     assert_eq!(matches!(exit, Exit::Ok | Exit::Failed), has_run, "{mix:?}");
-    assert!(!has_run || may_be_last(parts), "{mix:?}");
+    assert!(!has_run || no_request_after_execution(servers), "{mix:?}");
     // A server that would serve it is reached past all that are gone or stopping.
-    let first = mix.iter().find(|conduct| !matches!(conduct, Gone | Stopping));
-    assert!(first != Some(&Answers) || exit == Exit::Ok, "{mix:?}");
+    let first = mix.iter().find(|behaviour| !matches!(behaviour, Down | ShuttingDown));
+    assert!(first != Some(&Succeeds) || exit == Exit::Ok, "{mix:?}");
 }
 
 /// Whether no server was asked after one that said that the work has run.
-fn may_be_last(parts: &[Part<'_>; 3]) -> bool {
-    let mut after = parts.iter().skip_while(|part| !part.has(Answers) && !part.has(Failed)).skip(1);
-    after.all(|part| part.seen().is_empty())
+fn no_request_after_execution(servers: &[MixedServer<'_>; 3]) -> bool {
+    let mut after =
+        servers.iter().skip_while(|server| !server.has(Succeeds) && !server.has(Failed)).skip(1);
+    after.all(|server| server.received().is_empty())
 }
--- a/lilacpass-cli/tests/files.rs
+++ b/lilacpass-cli/tests/files.rs
@@ -43,7 +43,7 @@
     let bad = "[[workers]]\nname = \"w1\"\ndata_centre = \"nowhere\"\n";
     let run = lilacpass_with(&[], "check --inventory -", bad, &[]);
     assert!(run.code == 2 && run.stdout.contains("-:3:"), "{run:?}");
-    let run = lilacpass_with(&[&support::nobody()], "apply -", bad, &[]);
+    let run = lilacpass_with(&[&support::unused_url()], "apply -", bad, &[]);
     assert!(run.code == 2 && run.stderr.contains("\n-:3:"), "{run:?}");
     assert_eq!(lilacpass(&[], "check no/such/file.toml").code, 2);
 }
--- a/lilacpass-cli/tests/operators.rs
+++ b/lilacpass-cli/tests/operators.rs
@@ -5,7 +5,7 @@
 use lilacpass_cli::{args::AuditArgs, commands::audit};
 use lilacpass_schema::v1;
 use serde_json::{Value, json};
-use support::{Fake, Reply, lilacpass, lilacpass_with, nobody};
+use support::{FakeServer, Reply, lilacpass, lilacpass_with, unused_url};
 
 const BEFORE: &str = r#"
 [[data_centres]]
@@ -55,7 +55,7 @@
 
 #[test]
 fn status_fits_80_columns_and_names_all_trouble_first() {
-    let run = lilacpass(&[&Fake::always(200, troubled()).url], "status");
+    let run = lilacpass(&[&FakeServer::always(200, troubled()).url], "status");
     let widest = run.stdout.lines().map(|line| line.chars().count()).max();
     assert!(run.code == 0 && widest <= Some(80), "{widest:?}\n{}", run.stdout);
     let (trouble, rest) = run.stdout.split_once("\n\n").unwrap();
@@ -73,13 +73,14 @@
     named.iter().for_each(|text| assert!(trouble.contains(text), "{text}\n{trouble}"));
     assert!(rest.find("urgent") < rest.find("batch"), "{rest}");
     assert!(rest.contains("40 held here of 48 in the cell"), "{rest}");
-    let run = lilacpass(&[&Fake::always(200, healthy()).url], "status");
+    let run = lilacpass(&[&FakeServer::always(200, healthy()).url], "status");
     assert!(run.stdout.starts_with("ALL WELL\n"), "{}", run.stdout);
 }
 
 #[test]
 fn the_state_of_the_cell_is_put_together_from_all_servers() {
-    let (good, bad, lost) = (Fake::always(200, healthy()), Fake::always(200, troubled()), nobody());
+    let (good, bad, lost) =
+        (FakeServer::always(200, healthy()), FakeServer::always(200, troubled()), unused_url());
     let servers = [lost.as_str(), &good.url, &bad.url];
     let run = lilacpass(&servers, "status --cell");
     let widest = run.stdout.lines().map(|line| line.chars().count()).max();
@@ -111,8 +112,8 @@
         ("audit", json!({ "entries": [entry] })),
         ("inventory", json!({ "revision": 3, "configuration": { "teams": [{ "name": "t" }] } })),
     ];
-    for (command, answer) in cases {
-        let server = Fake::always(200, answer);
+    for (command, response) in cases {
+        let server = FakeServer::always(200, response);
         let run = lilacpass(&[&server.url], &format!("{command} --output json"));
         assert!(run.code == 0 && run.json().is_object(), "{command}: {run:?}");
         let run = lilacpass(&[&server.url], command);
@@ -124,33 +125,33 @@
 /// A newer server has a field that this tool does not know, as during an upgrade.
 #[test]
 fn an_answer_of_a_newer_server_gets_through_as_json() {
-    let server = Fake::always(200, json!({ "revision": 3, "of_tomorrow": 1 }));
+    let server = FakeServer::always(200, json!({ "revision": 3, "of_tomorrow": 1 }));
     let run = lilacpass(&[&server.url], "status --output json");
     assert_eq!((run.code, run.json()["of_tomorrow"].as_u64()), (0, Some(1)));
     let run = lilacpass(&[&server.url], "status");
     assert_eq!((run.code, run.stderr.as_str()), (0, ""), "known fields are shown: {run:?}");
-    let server = Fake::always(200, json!({ "revision": "of tomorrow" }));
+    let server = FakeServer::always(200, json!({ "revision": "of tomorrow" }));
     assert!(lilacpass(&[&server.url], "status").stderr.contains("of another version"));
 }
 
 /// A server whose configuration is `BEFORE` at revision 12, after a change by Ben at 12.
-fn cell(answer_to_change: (u16, Value)) -> Fake {
+fn cell(change_response: (u16, Value)) -> FakeServer {
     let configuration = lilacpass_config::inventory::parse(BEFORE).unwrap();
     let inventory = json!({ "revision": 12, "configuration": configuration });
     let changes = json!({ "changes": [
         { "revision": 12, "actor": "ben", "reason": "quota of markets", "ops": 1 },
         { "revision": 10, "actor": "ann", "reason": "first load", "ops": 3 },
     ] });
-    Fake::start(move |request, _| match (request.method.as_str(), request.path.as_str()) {
-        ("POST", _) => Reply::Json(answer_to_change.0, answer_to_change.1.clone()),
+    FakeServer::start(move |request, _| match (request.method.as_str(), request.path.as_str()) {
+        ("POST", _) => Reply::Json(change_response.0, change_response.1.clone()),
         (_, "/v1/inventory") => Reply::Json(200, inventory.clone()),
         (_, "/v1/changes") => Reply::Json(200, changes.clone()),
         _ => Reply::Json(200, json!({ "revision": 12 })),
     })
 }
 
-fn changes_sent(cell: &Fake) -> Vec<support::Seen> {
-    cell.seen().into_iter().filter(|request| request.method == "POST").collect()
+fn changes_sent(cell: &FakeServer) -> Vec<support::ReceivedRequest> {
+    cell.received().into_iter().filter(|request| request.method == "POST").collect()
 }
 
 #[test]
@@ -208,18 +209,18 @@
 #[test]
 fn a_change_in_doubt_goes_to_no_second_server() {
     let (first, second) = (cell((200, json!({}))), cell((200, json!({ "revision": 13 }))));
-    let answers = first.url.clone();
-    let dying = Fake::start(move |request, _| match request.method.as_str() {
+    let other_url = first.url.clone();
+    let closing = FakeServer::start(move |request, _| match request.method.as_str() {
         "POST" => Reply::Close,
         _ => Reply::Json(200, json!({ "revision": 12, "configuration": null })),
     });
-    let run = lilacpass_with(&[&dying.url, &second.url, &answers], "apply -", BEFORE, &[]);
+    let run = lilacpass_with(&[&closing.url, &second.url, &other_url], "apply -", BEFORE, &[]);
     assert_eq!((run.code, changes_sent(&second).len()), (4, 0), "{run:?}");
 }
 
 #[test]
 fn a_drain_that_loses_the_race_goes_on_top_of_the_winner() {
-    let server = Fake::start(|request, before| match (request.method.as_str(), before) {
+    let server = FakeServer::start(|request, before| match (request.method.as_str(), before) {
         ("POST", 1) => Reply::Json(412, json!({ "status": 412, "verdict": "not_run" })),
         ("POST", _) => Reply::Json(200, json!({ "revision": 15 })),
         _ => Reply::Json(200, json!({ "revision": 12 + before })),
@@ -259,15 +260,15 @@
 
 #[test]
 fn the_token_travels_in_its_header_and_nowhere_else() {
-    let server = Fake::always(403, json!({ "title": "no access", "verdict": "not_run" }));
+    let server = FakeServer::always(403, json!({ "title": "no access", "verdict": "not_run" }));
     let env = [("LILACPASS_TOKEN", "lilac_ann_secret")];
-    let run = lilacpass_with(&[&server.url, &nobody()], "status", "", &env);
-    assert_eq!(server.seen()[0].header("authorization"), Some("Bearer lilac_ann_secret"));
+    let run = lilacpass_with(&[&server.url, &unused_url()], "status", "", &env);
+    assert_eq!(server.received()[0].header("authorization"), Some("Bearer lilac_ann_secret"));
     assert!(run.code == 3 && !run.stderr.contains("secret"), "{run:?}");
     let run = lilacpass_with(&[], "--help", "", &env);
     assert!(run.code == 0 && !run.stdout.contains("lilac_ann"), "{run:?}");
     assert!(run.stdout.contains("Exit codes:") && run.stdout.contains("Examples:"));
     let run = lilacpass_with(&[&server.url], "status --token-file -", "lilac_ben_x\n", &[]);
     assert_eq!(run.code, 3);
-    assert_eq!(server.seen()[1].header("authorization"), Some("Bearer lilac_ben_x"));
+    assert_eq!(server.received()[1].header("authorization"), Some("Bearer lilac_ben_x"));
 }
--- a/lilacpass-cli/tests/support/mod.rs
+++ b/lilacpass-cli/tests/support/mod.rs
@@ -16,7 +16,7 @@
 
 /// A request as the server got it.
 #[derive(Clone, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct ReceivedRequest {
     pub(crate) method: String,
     pub(crate) path: String,
     /// Lines of the head, in lower case up to the colon.
@@ -24,7 +24,7 @@
     pub(crate) body: Value,
 }
 
-impl Seen {
+impl ReceivedRequest {
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
     }
@@ -38,29 +38,31 @@
 }
 
 /// A server that lives as long as the test process.
-pub(crate) struct Fake {
+pub(crate) struct FakeServer {
     pub(crate) url: String,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
 }
 
-impl Fake {
+impl FakeServer {
     /// Answers each request with what `answer` says of it and of the number of those before.
-    pub(crate) fn start(answer: impl Fn(&Seen, usize) -> Reply + Send + 'static) -> Self {
+    pub(crate) fn start(
+        answer: impl Fn(&ReceivedRequest, usize) -> Reply + Send + 'static,
+    ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let url = format!("http://{}", listener.local_addr().unwrap());
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let log = Arc::clone(&seen);
+        let received = Arc::new(Mutex::new(Vec::new()));
+        let log = Arc::clone(&received);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let Some(request) = read_request(&stream) else { continue };
                 let before = log.lock().unwrap().len();
                 log.lock().unwrap().push(request.clone());
                 if let Reply::Json(status, body) = answer(&request, before) {
-                    write_answer(&stream, status, &body);
+                    write_response(&stream, status, &body);
                 }
             }
         });
-        Self { url, seen }
+        Self { url, received }
     }
 
     /// Gives the same answer to all.
@@ -69,18 +71,18 @@
     }
 
     /// Takes each request and closes the connection.
-    pub(crate) fn dying() -> Self {
+    pub(crate) fn closing() -> Self {
         Self::start(|_, _| Reply::Close)
     }
 
-    pub(crate) fn seen(&self) -> Vec<Seen> {
-        self.seen.lock().unwrap().clone()
+    pub(crate) fn received(&self) -> Vec<ReceivedRequest> {
+        self.received.lock().unwrap().clone()
     }
 }
 
 /// The URL of a port where nobody listens, and which no other test is given in the meantime: it
 /// stays bound until the process ends.
-pub(crate) fn nobody() -> String {
+pub(crate) fn unused_url() -> String {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let url = format!("http://{}", socket.local_addr().unwrap());
@@ -90,20 +92,20 @@
 
 /// What a run of the tool left behind.
 #[derive(Debug)]
-pub(crate) struct Run {
+pub(crate) struct ToolOutput {
     pub(crate) code: i32,
     pub(crate) stdout: String,
     pub(crate) stderr: String,
 }
 
-impl Run {
+impl ToolOutput {
     pub(crate) fn json(&self) -> Value {
         serde_json::from_str(&self.stdout).unwrap_or_else(|err| panic!("{err}: {self:?}"))
     }
 }
 
 /// Runs the tool with the arguments given, separated by spaces, against `servers`.
-pub(crate) fn lilacpass(servers: &[&str], args: &str) -> Run {
+pub(crate) fn lilacpass(servers: &[&str], args: &str) -> ToolOutput {
     lilacpass_with(servers, args, "", &[])
 }
 
@@ -113,7 +115,7 @@
     args: &str,
     stdin: &str,
     env: &[(&str, &str)],
-) -> Run {
+) -> ToolOutput {
     let mut command = Command::new(env!("CARGO_BIN_EXE_lilacpass"));
     command.args(args.split_whitespace()).args(servers.iter().flat_map(|url| ["--server", url]));
     ["LILACPASS_SERVER", "LILACPASS_TOKEN", "LILACPASS_TOKEN_FILE"].iter().for_each(|name| {
@@ -125,14 +127,14 @@
     // A command that fails early closes its standard input before all is written.
     let _ = child.stdin.take().unwrap().write_all(stdin.as_bytes());
     let output = child.wait_with_output().unwrap();
-    Run {
+    ToolOutput {
         code: output.status.code().unwrap(),
         stdout: String::from_utf8(output.stdout).unwrap(),
         stderr: String::from_utf8(output.stderr).unwrap(),
     }
 }
 
-fn read_request(stream: &TcpStream) -> Option<Seen> {
+fn read_request(stream: &TcpStream) -> Option<ReceivedRequest> {
     let mut reader = BufReader::new(stream);
     let mut lines = Vec::new();
     loop {
@@ -153,10 +155,15 @@
     let len = headers.iter().find(|(name, _)| name == "content-length");
     let mut body = vec![0; len.map_or(0, |(_, len)| len.parse().unwrap())];
     reader.read_exact(&mut body).ok()?;
-    Some(Seen { method, path, headers, body: serde_json::from_slice(&body).unwrap_or_default() })
+    Some(ReceivedRequest {
+        method,
+        path,
+        headers,
+        body: serde_json::from_slice(&body).unwrap_or_default(),
+    })
 }
 
-fn write_answer(mut stream: &TcpStream, status: u16, body: &Value) {
+fn write_response(mut stream: &TcpStream, status: u16, body: &Value) {
     let kind = if status < 400 { "application/json" } else { "application/problem+json" };
     let body = body.to_string();
     let head = format!(
--- a/lilacpass-cli/tests/units.rs
+++ b/lilacpass-cli/tests/units.rs
@@ -23,11 +23,11 @@
 #[test]
 fn times_are_shown_in_at_most_two_units() {
     let cases = [(0, "0ms"), (999, "999ms"), (1_000, "1s"), (200_000, "3m 20s")];
-    cases.iter().for_each(|(ms, text)| assert_eq!(units::show_ms(*ms), *text));
-    assert_eq!(units::show_ms(187_200_000), "2d 4h");
-    assert_eq!(units::show_unix_ms(0), "1970-01-01 00:00:00");
-    assert_eq!(units::show_unix_ms(951_782_400_000), "2000-02-29 00:00:00");
-    assert_eq!(units::show_unix_ms(1_796_237_618_000), "2026-12-02 18:53:38");
+    cases.iter().for_each(|(ms, text)| assert_eq!(units::format_ms(*ms), *text));
+    assert_eq!(units::format_ms(187_200_000), "2d 4h");
+    assert_eq!(units::format_unix_ms(0), "1970-01-01 00:00:00");
+    assert_eq!(units::format_unix_ms(951_782_400_000), "2000-02-29 00:00:00");
+    assert_eq!(units::format_unix_ms(1_796_237_618_000), "2026-12-02 18:53:38");
 }
 
 /// Counts the calendar forward day by day, with the rule of leap years written out.
@@ -38,7 +38,7 @@
     let (mut year, mut month, mut day) = (1970, 1, 1);
     for days in 0..73_000 {
         let expected = format!("{year:04}-{month:02}-{day:02} 00:00:00");
-        assert_eq!(units::show_unix_ms(days * 86_400_000), expected);
+        assert_eq!(units::format_unix_ms(days * 86_400_000), expected);
         let days_in_month = match month {
             2 if leap(year) => 29,
             2 => 28,
--- a/lilacpass-cli/tests/verdicts.rs
+++ b/lilacpass-cli/tests/verdicts.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use serde_json::{Value, json};
-use support::{Fake, Reply, lilacpass, nobody};
+use support::{FakeServer, Reply, lilacpass, unused_url};
 
 const QUICK: &str = "submit --wait-answer --team shops --service audit --kind page";
 const JOB: &str = "submit --team shops --service audit --kind crawl";
@@ -13,7 +13,7 @@
     json!({ "type": "t", "title": "refused", "status": status, "verdict": verdict })
 }
 
-fn quick_answer() -> Value {
+fn quick_response() -> Value {
     json!({ "request_id": "r1", "verdict": "ran", "result": "page is fine", "run_ms": 3 })
 }
 
@@ -24,7 +24,7 @@
 #[test]
 fn each_verdict_has_its_exit_code() {
     let cases = [
-        (200, quick_answer(), 0),
+        (200, quick_response(), 0),
         (400, problem(400, "not_run"), 3),
         (403, problem(403, "not_run"), 3),
         (504, problem(504, "may_have_run"), 4),
@@ -33,15 +33,15 @@
         (200, json!("no answer of ours"), 4),
     ];
     for (status, body, code) in cases {
-        let server = Fake::always(status, body.clone());
+        let server = FakeServer::always(status, body.clone());
         let run = lilacpass(&[&server.url], QUICK);
         assert_eq!(run.code, code, "{status} {body}: {run:?}");
-        assert_eq!(server.seen().len(), 1);
+        assert_eq!(server.received().len(), 1);
     }
-    assert_eq!(lilacpass(&[&nobody()], QUICK).code, 7);
-    assert_eq!(lilacpass(&[&nobody()], "status").code, 7);
-    assert_eq!(lilacpass(&[&Fake::dying().url], QUICK).code, 4);
-    assert_eq!(lilacpass(&[&Fake::dying().url], "status").code, 7);
+    assert_eq!(lilacpass(&[&unused_url()], QUICK).code, 7);
+    assert_eq!(lilacpass(&[&unused_url()], "status").code, 7);
+    assert_eq!(lilacpass(&[&FakeServer::closing().url], QUICK).code, 4);
+    assert_eq!(lilacpass(&[&FakeServer::closing().url], "status").code, 7);
     assert_eq!(lilacpass(&[], "submit --no-such-option").code, 2);
 }
 
@@ -57,7 +57,7 @@
         ("failed", "", 4),
     ];
     for (state, verdict, code) in cases {
-        let server = Fake::always(200, job(state, verdict));
+        let server = FakeServer::always(200, job(state, verdict));
         let run = lilacpass(&[&server.url], &format!("wait {ID} --output json"));
         assert_eq!((run.code, run.json()["state"].as_str()), (code, Some(state)));
     }
@@ -65,12 +65,12 @@
 
 #[test]
 fn an_error_is_a_problem_document_for_scripts() {
-    let server = Fake::always(503, problem(503, "not_run"));
+    let server = FakeServer::always(503, problem(503, "not_run"));
     let run = lilacpass(&[&server.url], &format!("{QUICK} --output json"));
     assert_eq!(run.json()["verdict"], "not_run");
-    let run = lilacpass(&[&nobody()], &format!("{QUICK} --output json"));
+    let run = lilacpass(&[&unused_url()], &format!("{QUICK} --output json"));
     assert_eq!((run.json()["verdict"].as_str(), run.code), (Some("not_run"), 7));
-    let run = lilacpass(&[&Fake::dying().url], &format!("{QUICK} --output json"));
+    let run = lilacpass(&[&FakeServer::closing().url], &format!("{QUICK} --output json"));
     assert_eq!((run.json()["verdict"].as_str(), run.code), (Some("may_have_run"), 4));
 }
 
@@ -79,15 +79,16 @@
 /// get the report twice.
 #[test]
 fn a_repeated_submission_keeps_its_key() {
-    let (first, second) = (Fake::dying(), Fake::always(200, job("waiting", "not_run")));
+    let (first, second) =
+        (FakeServer::closing(), FakeServer::always(200, job("waiting", "not_run")));
     let run = lilacpass(&[&first.url, &second.url], JOB);
     assert_eq!(run.code, 0, "{run:?}");
-    let (sent, repeated) = (first.seen().remove(0), second.seen().remove(0));
+    let (sent, repeated) = (first.received().remove(0), second.received().remove(0));
     assert_eq!(sent.header("idempotency-key"), repeated.header("idempotency-key"));
     assert_eq!(sent.header("idempotency-key").map(str::len), Some(32));
     assert_eq!(sent.body, repeated.body);
     let run = lilacpass(&[&second.url], &format!("{JOB} --key audit-7"));
-    assert_eq!((run.code, second.seen()[1].header("idempotency-key")), (0, Some("audit-7")));
+    assert_eq!((run.code, second.received()[1].header("idempotency-key")), (0, Some("audit-7")));
 }
 
 /// An alert is sent as a quick request that must not run twice. The entry instance forwards it and
@@ -95,46 +96,46 @@
 /// reel.
 #[test]
 fn a_quick_request_in_doubt_goes_to_no_second_server_unless_idempotent() {
-    let (first, second) = (Fake::dying(), Fake::always(200, quick_answer()));
+    let (first, second) = (FakeServer::closing(), FakeServer::always(200, quick_response()));
     let servers = [first.url.as_str(), &second.url];
     assert_eq!(lilacpass(&servers, QUICK).code, 4);
-    assert!(second.seen().is_empty());
+    assert!(second.received().is_empty());
     let run = lilacpass(&servers, &format!("{QUICK} --idempotent"));
     assert_eq!((run.code, run.stdout.as_str()), (0, "page is fine\n"));
 }
 
 #[test]
 fn a_request_that_was_not_run_goes_on_to_the_next_server() {
-    let good = Fake::always(200, quick_answer());
-    let stopping = Fake::always(503, problem(503, "not_run"));
-    assert_eq!(lilacpass(&[&nobody(), &good.url], QUICK).code, 0);
+    let good = FakeServer::always(200, quick_response());
+    let stopping = FakeServer::always(503, problem(503, "not_run"));
+    assert_eq!(lilacpass(&[&unused_url(), &good.url], QUICK).code, 0);
     assert_eq!(lilacpass(&[&stopping.url, &good.url], QUICK).code, 0);
     // Work that ran and failed is not run again, whatever the status says.
-    let failed = Fake::always(502, problem(502, "ran"));
+    let failed = FakeServer::always(502, problem(502, "ran"));
     let run = lilacpass(&[&failed.url, &good.url], &format!("{QUICK} --idempotent"));
     assert_eq!(run.code, 5, "{run:?}");
     // A refusal that any server would repeat is final.
-    let refusing = Fake::always(403, problem(403, "not_run"));
+    let refusing = FakeServer::always(403, problem(403, "not_run"));
     assert_eq!(lilacpass(&[&refusing.url, &good.url], QUICK).code, 3);
-    assert_eq!(good.seen().len(), 2);
+    assert_eq!(good.received().len(), 2);
 }
 
 /// The first entry takes a job and dies before it answers; the second is stopping, and truthfully
 /// says that it has not run what it got. The caller must not read this as "not run".
 #[test]
 fn not_run_from_one_server_does_not_settle_the_doubt_about_another() {
-    let (first, second) = (Fake::dying(), Fake::always(503, problem(503, "not_run")));
+    let (first, second) = (FakeServer::closing(), FakeServer::always(503, problem(503, "not_run")));
     assert_eq!(lilacpass(&[&first.url, &second.url], JOB).code, 4);
-    assert_eq!(lilacpass(&[&first.url, &nobody()], JOB).code, 4);
-    assert_eq!(lilacpass(&[&second.url, &nobody()], JOB).code, 7);
+    assert_eq!(lilacpass(&[&first.url, &unused_url()], JOB).code, 4);
+    assert_eq!(lilacpass(&[&second.url, &unused_url()], JOB).code, 7);
 }
 
 #[test]
 fn the_deadline_of_a_person_covers_all_servers() {
-    let server = Fake::always(200, quick_answer());
-    let run = lilacpass(&[&nobody(), &server.url], &format!("{QUICK} --deadline 20s"));
+    let server = FakeServer::always(200, quick_response());
+    let run = lilacpass(&[&unused_url(), &server.url], &format!("{QUICK} --deadline 20s"));
     assert_eq!(run.code, 0);
-    let left: u64 = server.seen()[0].header("deadline-ms").unwrap().parse().unwrap();
+    let left: u64 = server.received()[0].header("deadline-ms").unwrap().parse().unwrap();
     assert!((1..=20_000).contains(&left));
 }
 
@@ -142,26 +143,26 @@
 /// and its successor has not read the log far enough to know the job. Both pass by themselves.
 #[test]
 fn waiting_survives_a_lost_entry() {
-    let first = Fake::start(|_, before| match before {
+    let first = FakeServer::start(|_, before| match before {
         0 => Reply::Json(200, job("running", "")),
         _ => Reply::Close,
     });
-    let second = Fake::start(|_, before| match before {
+    let second = FakeServer::start(|_, before| match before {
         0 => Reply::Json(404, problem(404, "not_run")),
         _ => Reply::Json(200, job("succeeded", "ran")),
     });
     let run = lilacpass(&[&first.url, &second.url], &format!("wait {ID}"));
     assert_eq!(run.code, 0, "{run:?}");
     assert!(run.stderr.contains("running"), "{run:?}");
-    assert!(first.seen()[0].path.contains("wait_ms="));
+    assert!(first.received()[0].path.contains("wait_ms="));
     // A job that no server ever knew is not waited for.
-    let unknown = Fake::always(404, problem(404, "not_run"));
+    let unknown = FakeServer::always(404, problem(404, "not_run"));
     assert_eq!(lilacpass(&[&unknown.url], &format!("wait {ID}")).code, 3);
 }
 
 #[test]
 fn the_limit_of_a_wait_ends_it_without_a_claim_on_the_outcome() {
-    let server = Fake::always(200, job("running", ""));
+    let server = FakeServer::always(200, job("running", ""));
     let run = lilacpass(&[&server.url], &format!("wait {ID} --for 10ms --quiet"));
     assert_eq!((run.code, run.stderr.as_str()), (4, ""));
 }
