--- a/lilacpass-cli/src/api.rs
+++ b/lilacpass-cli/src/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface of `lilacpassd` as seen by a caller.
+//! Client side of the HTTP interface of `lilacpassd`.
 
 pub mod client;
 pub mod exchange;
--- a/lilacpass-cli/src/api/client.rs
+++ b/lilacpass-cli/src/api/client.rs
@@ -1,4 +1,4 @@
-//! Calls to whichever entry instance answers, and the one place where a call is repeated.
+//! Client that sends requests to a list of entry instances and fails over from one to the next.
 
 use std::time::Duration;
 
@@ -23,46 +23,46 @@
 
 /// Header with the idempotency key of a submission.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Header with the time that the caller waits, in milliseconds.
+/// Header with the time that the caller waits for the response, in milliseconds.
 pub const DEADLINE_MS: &str = "deadline-ms";
-/// Header with the revision that a change builds on.
+/// Header with the configuration revision that a change is based on.
 pub const IF_MATCH: &str = "if-match";
 
-/// Time that a server gets beyond the deadline of the caller, for its answer that the deadline has
-/// passed to arrive.
+/// Time added to the caller's deadline before the client gives up, so that the server's response that the deadline has
+/// passed can still arrive.
 const DEADLINE_MARGIN: Duration = Duration::from_secs(2);
 
-/// Whether a call that may have reached one server may go to another one.
+/// Whether a request that may have reached one server may be sent to another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// It changes nothing, or carries a key under which the servers know it again.
+    /// The request changes nothing or carries an idempotency key, so it may be repeated on the next server even if the
+    /// previous one may have executed it.
     Idempotent,
-    /// Only with proof that it had no effect.
+    /// The request is sent to another server only if it is proved that it had no effect so far.
     OnlyIfNotRun,
 }
 
-/// A caller of the HTTP interface, with the servers that it may use.
+/// Client of the HTTP interface, with the list of servers that it may use.
 pub struct Client {
     servers: Vec<Server>,
     token: Option<BearerToken>,
     timeout: Duration,
-    /// Position of the server that answered last and is asked first.
+    /// Index of the server that responded successfully last; the next request goes to it first.
     preferred: usize,
 }
 
 impl Client {
-    /// A client of `servers`, of which there is at least one, where each call takes at most
-    /// `timeout`.
+    /// Creates a client of `servers`, which must not be empty. Each request to one server takes at most `timeout`.
     pub fn new(servers: Vec<Server>, token: Option<BearerToken>, timeout: Duration) -> Self {
         Self { servers, token, timeout, preferred: 0 }
     }
 
-    /// Time that one call may take.
+    /// Maximum duration of one request to one server.
     pub fn timeout(&self) -> Duration {
         self.timeout
     }
 
-    /// One client for each server, which asks no other one.
+    /// Returns one client per server, each of which sends requests to that server only.
     pub fn per_server(&self) -> impl Iterator<Item = (Server, Self)> {
         self.servers.iter().map(|server| {
             let single = Self::new(vec![server.clone()], self.token.clone(), self.timeout);
@@ -70,23 +70,24 @@
         })
     }
 
-    /// Looks at `path`.
+    /// Sends a GET request for `path`.
     pub async fn get(&mut self, path: &str) -> Result<Value> {
         self.get_with_timeout(path, self.timeout).await
     }
 
-    /// Looks at `path` with a timeout of its own, for calls that wait for news.
+    /// Sends a GET request for `path` with its own timeout, for requests that the server holds open until something
+    /// changes.
     pub async fn get_with_timeout(&mut self, path: &str, timeout: Duration) -> Result<Value> {
         let request = Request { timeout, ..self.request(Method::GET, path) };
         self.send(&request, RetryPolicy::Idempotent, None).await
     }
 
-    /// Deletes `path`; doing so twice does no harm.
+    /// Sends a DELETE request for `path`, which is idempotent.
     pub async fn delete(&mut self, path: &str) -> Result<Value> {
         self.send(&self.request(Method::DELETE, path), RetryPolicy::Idempotent, None).await
     }
 
-    /// Posts `body` to `path` with the headers given.
+    /// Posts `body` as JSON to `path` with the given headers.
     pub async fn post<T: Serialize>(
         &mut self,
         path: &str,
@@ -99,8 +100,7 @@
         self.send(&request, retry_policy, None).await
     }
 
-    /// Posts a request for whose answer a person waits until `deadline` from now, whatever the
-    /// number of servers that are asked in that time.
+    /// Posts `body` as JSON to `path` with a deadline that covers the attempts on all servers together.
     pub async fn post_with_deadline<T: Serialize>(
         &mut self,
         path: &str,
@@ -119,10 +119,10 @@
         Request { method, path: path.to_owned(), headers: Vec::new(), body: String::new(), timeout }
     }
 
-    /// Sends `call` to one server after the other, each at most once, while [`may_go_on`] allows.
+    /// Sends `request` to one server after the other, at most once to each, as long as [`may_try_next_server`] allows.
     ///
-    /// This is the only place of the tool that repeats a call. A server repeats what it can by
-    /// itself, so its answer is taken as final, except that it is the wrong server to ask.
+    /// This is the only place in the tool that repeats a request. A server retries internally whatever is safe to
+    /// retry, so its response is final unless it only says that this server can't handle the request.
     async fn send(
         &mut self,
         request: &Request,
@@ -132,7 +132,7 @@
         let started = Instant::now();
         let has_effect = request.method != Method::GET;
         let mut in_doubt = false;
-        let mut last_error = Error::Unreachable("no server is given".to_owned());
+        let mut last_error = Error::Unreachable("no server was specified".to_owned());
         for attempt in 0..self.servers.len() {
             let index = (self.preferred + attempt) % self.servers.len();
             let server = &self.servers[index];
@@ -162,7 +162,7 @@
     }
 }
 
-/// The call with the time that is left until the caller's deadline, where there is one.
+/// Returns a copy of `request` that carries the time remaining until the caller's deadline, if there is a deadline.
 fn with_deadline(request: &Request, remaining: Option<Duration>) -> Request {
     let mut request = request.clone();
     if let Some(remaining) = remaining {
@@ -176,14 +176,14 @@
     serde_json::to_string(body).map_err(|err| Error::Usage(err.to_string()))
 }
 
-/// Whether a call that ended with `err` may be sent to the next server.
+/// Returns whether a request that failed with `err` may be sent to the next server.
 fn may_try_next_server(err: &Error, retry_policy: RetryPolicy) -> bool {
     match err {
         Error::Unreachable(_) | Error::NoResponse(_) => true,
         Error::OutcomeUnknown(_) => retry_policy == RetryPolicy::Idempotent,
         Error::Problem(problem) => {
-            // Not an overload (429): the server has tried the others' workers already, and asking
-            // each server again would multiply the load just then.
+            // Overload (429) is excluded: the server has already tried the workers of the other servers, and repeating
+            // the request on each server would multiply the load while the cell is overloaded.
             let wrong_server = [BAD_GATEWAY, SERVICE_UNAVAILABLE].map(u32::from);
             let not_run = problem.verdict == Verdict::NotRun.as_str();
             let has_run = problem.verdict == Verdict::Ran.as_str();
@@ -194,7 +194,7 @@
     }
 }
 
-/// Whether an error is proof that the call had no effect.
+/// Returns whether `err` proves that the request had no effect.
 fn proves_not_run(err: &Error) -> bool {
     match err {
         Error::Unreachable(_) => true,
@@ -203,16 +203,18 @@
     }
 }
 
-/// The error where an earlier server is in doubt: "not run" from this server then proves nothing
-/// about the earlier one, which may have taken the same request.
+/// Replaces a proof of "not run" by [`Error::OutcomeUnknown`] if an earlier server may have accepted the same request:
+/// the response of this server proves nothing about the earlier one.
 fn unknown_if_in_doubt(err: Error, in_doubt: bool) -> Error {
     if in_doubt && proves_not_run(&err) {
-        return Error::OutcomeUnknown(format!("{err}, but an earlier server may have taken it"));
+        return Error::OutcomeUnknown(format!(
+            "{err}, but an earlier server may have accepted the request"
+        ));
     }
     err
 }
 
-/// The error of a call that changes nothing: there is no doubt about its effect.
+/// Converts the error of a read-only request: its outcome can't be in doubt, because it changes nothing.
 fn read_only_error(err: Error) -> Error {
     match err {
         Error::OutcomeUnknown(detail) => Error::NoResponse(detail),
@@ -220,7 +222,7 @@
     }
 }
 
-/// Turns the outcome of one exchange into the JSON answer or the error.
+/// Converts the outcome of one HTTP exchange into the JSON body of the response or an error.
 fn parse_response(
     server: &Server,
     outcome: std::result::Result<Response, SendError>,
@@ -243,8 +245,8 @@
     serde_json::from_slice(&response.body).map_err(|err| Error::InvalidResponse(err.to_string()))
 }
 
-/// The problem document of an answer. An answer that is none, such as one of a balancer on the
-/// way, becomes one without a verdict.
+/// Parses the problem document of an error response. A response without one, such as that of a load balancer in
+/// between, is converted into a problem document without a verdict.
 fn to_problem(response: &Response) -> v1::Problem {
     const MAX_SHOWN_CHARS: usize = 200;
     let status = u32::from(response.status);
--- a/lilacpass-cli/src/api/exchange.rs
+++ b/lilacpass-cli/src/api/exchange.rs
@@ -1,4 +1,4 @@
-//! One request to one server, and what came of it.
+//! Sends one HTTP request to one server.
 
 use std::{error::Error, io, time::Duration};
 
@@ -16,61 +16,63 @@
 
 use crate::api::server::Server;
 
-/// Longest time to wait for a connection; shorter than a call, so that a server that is down is
-/// known as such, and not taken for one that got the request.
+/// Maximum time for connecting. It is shorter than the timeout of a request, so that a server that is down is
+/// recognised as unreachable and not mistaken for one that may have received the request.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A bearer token. Its text appears in no debug output.
+/// A bearer token. Its header value is marked as sensitive, so its text appears in no debug output.
 #[derive(Clone)]
 pub struct BearerToken(HeaderValue);
 
 impl BearerToken {
-    /// Wraps the text of a token.
+    /// Creates the `Authorization` header value from the text of a token; surrounding whitespace is removed.
     pub fn new(text: &str) -> Result<Self, String> {
-        let mut value = HeaderValue::from_str(&format!("Bearer {}", text.trim()))
-            .map_err(|_| "the token holds characters that no token has".to_owned())?;
+        let mut value =
+            HeaderValue::from_str(&format!("Bearer {}", text.trim())).map_err(|_| {
+                "the token contains characters that are not valid in an HTTP header".to_owned()
+            })?;
         value.set_sensitive(true);
         Ok(Self(value))
     }
 }
 
-/// A request to any server.
+/// An HTTP request that can be sent to any server.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Method of HTTP.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query, such as `/v1/jobs`.
+    /// Path and query string, such as `/v1/jobs`.
     pub path: String,
-    /// Headers besides those of the body and the token.
+    /// Headers other than those for the body and the token.
     pub headers: Vec<(&'static str, String)>,
-    /// JSON text; empty for no body.
+    /// JSON text of the body; empty for a request without a body.
     pub body: String,
-    /// Time for the whole exchange.
+    /// Maximum duration of the whole exchange, including the connection setup.
     pub timeout: Duration,
 }
 
-/// What a server answered.
+/// The response of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// Status of HTTP.
+    /// HTTP status code.
     pub status: u16,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
-/// Why there is no answer.
+/// Why a request got no response. Both variants hold a description of the error.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SendError {
-    /// There was no connection, so nothing was sent.
+    /// The connection could not be established, so nothing was sent.
     NotSent(String),
-    /// The request may have reached the server.
+    /// The request may have reached the server, but no complete response arrived.
     NoResponse(String),
 }
 
-/// Sends `call` to `server` over a connection of its own.
+/// Sends `request` to `server` over a new connection.
 ///
-/// No connection is kept for a later call: one that went silent between two calls, because
-/// something on the way lost track of it, would swallow the next call until its timeout.
+/// Connections are not reused: if a device on the network path drops the state of an idle connection, the next request
+/// on it would get no response until its timeout.
 pub async fn send(
     server: &Server,
     request: &Request,
@@ -78,7 +80,7 @@
 ) -> Result<Response, SendError> {
     match time::timeout(request.timeout, exchange(server, request, token)).await {
         Ok(result) => result,
-        Err(_) => Err(SendError::NoResponse(format!("none within {:?}", request.timeout))),
+        Err(_) => Err(SendError::NoResponse(format!("no response within {:?}", request.timeout))),
     }
 }
 
@@ -103,16 +105,16 @@
     }
     let response: response::Response = request_builder.send().await.map_err(classify_error)?;
     let status = response.status().as_u16();
-    let body_error = |err| SendError::NoResponse(format!("the answer broke off: {err}"));
+    let body_error = |err| SendError::NoResponse(format!("the response was cut off: {err}"));
     let body = response.into_body().into_vec().await.map_err(body_error)?;
     Ok(Response { status, body })
 }
 
-/// Sorts the errors of the HTTP library: those from before the first byte left prove that nothing
-/// was sent, all others prove nothing.
+/// Classifies an error of the HTTP library. An error that occurs before the first byte is written proves that nothing
+/// was sent; any other error proves nothing.
 ///
-/// The library reports a connection that could not be made as an error of the request, caused
-/// directly by an I/O error. Any error after that is caused by one of the HTTP protocol.
+/// The library reports a failed connection attempt as a request error whose direct source is an I/O error. The source
+/// of any later error is an error of the HTTP protocol.
 fn classify_error(err: ClientError) -> SendError {
     let connect_failed = err.source().is_some_and(<dyn Error>::is::<io::Error>);
     match err.kind() {
--- a/lilacpass-cli/src/api/server.rs
+++ b/lilacpass-cli/src/api/server.rs
@@ -2,18 +2,18 @@
 
 use std::{fmt, str::FromStr};
 
-/// Address that is used where none is given.
+/// Address of the server if none is specified.
 pub const DEFAULT_SERVER: &str = "http://127.0.0.1:7070";
 
 const HTTP: &str = "http://";
 const HTTPS: &str = "https://";
 
-/// An entry instance, as `http://host:port` without a path.
+/// Address of an entry instance in the form `http://host:port`, without a path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Server(String);
 
 impl Server {
-    /// The URL of `path`, which begins with a slash.
+    /// Returns the URL of `path`, which must begin with a slash.
     pub fn url(&self, path: &str) -> String {
         format!("{}{path}", self.0)
     }
@@ -28,10 +28,10 @@
 impl FromStr for Server {
     type Err = String;
 
-    /// Reads `http://host:port` or `host:port`.
+    /// Parses `http://host:port` or `host:port`.
     fn from_str(text: &str) -> Result<Self, String> {
         if text.starts_with(HTTPS) {
-            return Err("https is not supported yet; reach the server through http".to_owned());
+            return Err("https is not supported yet; use http".to_owned());
         }
         let authority = text.strip_prefix(HTTP).unwrap_or(text).trim_end_matches('/');
         let well_formed = |c: char| c.is_ascii_alphanumeric() || "-._:[]".contains(c);
--- a/lilacpass-cli/src/args.rs
+++ b/lilacpass-cli/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use std::{path::PathBuf, time::Duration};
 
@@ -25,18 +25,18 @@
 #[derive(Debug, Parser)]
 #[command(name = "lilacpass", version, after_long_help = help::EXAMPLES, after_help = help::EXIT_CODES)]
 pub struct Cli {
-    /// Options of all commands.
+    /// Options that apply to all commands.
     #[command(flatten)]
     pub global: GlobalArgs,
-    /// What to do.
+    /// Subcommand to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// Options of all commands.
+/// Options that apply to all commands.
 #[derive(Debug, Args)]
 pub struct GlobalArgs {
-    /// Entry instance to ask; give several and the next one is asked where one can't be reached
+    /// Entry instance to send requests to; with several, the next one is tried if one can't be reached
     #[arg(
         long,
         global = true,
@@ -47,12 +47,12 @@
     )]
     pub server: Vec<Server>,
 
-    /// File that holds the access token
+    /// File that contains the access token
     #[arg(long, global = true, env = "LILACPASS_TOKEN_FILE", value_name = "FILE")]
     pub token_file: Option<PathBuf>,
 
-    /// Access token; on the command line it shows in process listings, so prefer the variable
-    /// LILACPASS_TOKEN or --token-file
+    /// Access token; on the command line it is visible in process listings, so prefer the environment
+    /// variable LILACPASS_TOKEN or --token-file
     #[arg(
         long,
         global = true,
@@ -62,16 +62,16 @@
     )]
     pub token: Option<String>,
 
-    /// Form of the output
+    /// Output format
     #[arg(long, short, global = true, value_enum, default_value_t)]
     pub output: Format,
 
-    /// Longest time for one call to one server, such as 500ms or 30s
+    /// Maximum time for one request to one server, such as 500ms or 30s
     #[arg(long, global = true, value_name = "TIME", default_value = "30s", value_parser = units::parse_duration)]
     pub timeout: Duration,
 }
 
-/// The commands.
+/// Subcommands of the tool.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Submit a job, or a quick request with --wait-answer
@@ -85,41 +85,41 @@
     },
     /// List jobs, or show one
     Jobs(JobsArgs),
-    /// Say why a job waits and what would end the wait
+    /// Explain why a job waits and what would let it start
     Explain {
         /// Id of the job
         job: JobId,
     },
-    /// List workers: what each holds, and for whom
+    /// List workers with their state, holder and assigned resources
     Workers(WorkersArgs),
-    /// The state of the cell at a glance, as one entry instance sees it
+    /// Summarise the state of the cell as one entry instance sees it
     Status {
-        /// Ask every --server, and put together what they see
+        /// Query every --server and combine their views
         #[arg(long)]
         cell: bool,
     },
-    /// Print the configuration in force as TOML, with the revision that it has
+    /// Print the current configuration as TOML, with its revision
     Inventory,
-    /// Put a configuration file in force
+    /// Apply a configuration file
     Apply(ApplyArgs),
-    /// Show how a configuration file differs from what is in force
+    /// Show how a configuration file differs from the current configuration
     Diff(DiffArgs),
-    /// Let a worker take no new work
+    /// Stop a worker from accepting new work
     Drain(DrainArgs),
-    /// List the last accepted changes
+    /// List the latest accepted configuration changes
     Changes,
-    /// List the audit trail: who asked for what, and what came of it
+    /// List the audit trail: who requested which change, and whether it was accepted
     Audit(AuditArgs),
-    /// Access tokens
+    /// Manage access tokens
     #[command(subcommand)]
     Token(TokenCommand),
-    /// Turn the CSV of an asset register into a configuration file
+    /// Convert the CSV file of an asset register into a configuration file
     ImportCsv(ImportArgs),
     /// Check settings and configuration files offline
     Check(CheckArgs),
-    /// Print completions for a shell
+    /// Print a completion script for a shell
     Completions {
-        /// The shell
+        /// Shell to generate completions for
         shell: Shell,
     },
 }
@@ -129,10 +129,10 @@
 pub struct WaitArgs {
     /// Id of the job
     pub job: JobId,
-    /// Longest time to wait, such as 10m; without it, until the job has ended
+    /// Maximum time to wait, such as 10m; by default until the job has ended
     #[arg(long = "for", value_name = "TIME", value_parser = units::parse_duration)]
     pub limit: Option<Duration>,
-    /// Print no progress
+    /// Don't print progress
     #[arg(long, short)]
     pub quiet: bool,
 }
@@ -142,13 +142,13 @@
 pub struct JobsArgs {
     /// Show this job only
     pub job: Option<JobId>,
-    /// Only jobs of this team
+    /// Only show jobs of this team
     #[arg(long)]
     pub team: Option<String>,
-    /// Only jobs in this state, such as waiting, running or may_have_run
+    /// Only show jobs in this state, such as waiting, running or may_have_run
     #[arg(long)]
     pub state: Option<String>,
-    /// Only jobs of this class
+    /// Only show jobs of this class
     #[arg(long, value_enum)]
     pub class: Option<ClassArg>,
 }
@@ -158,33 +158,33 @@
 pub struct WorkersArgs {
     /// Show this worker only, with its tasks
     pub worker: Option<WorkerId>,
-    /// Only workers in this state, such as draining, quarantined or silent
+    /// Only show workers in this state, such as draining, quarantined or silent
     #[arg(long)]
     pub state: Option<String>,
-    /// Only workers of this data centre
+    /// Only show workers of this data centre
     #[arg(long)]
     pub data_centre: Option<String>,
 }
 
-/// Filters of `audit`.
+/// Options of `audit`, all of which filter entries.
 #[derive(Debug, Default, Args)]
 pub struct AuditArgs {
-    /// Only what this token or person asked for
+    /// Only show entries of this token or person
     #[arg(long)]
     pub actor: Option<String>,
-    /// Only this action: change, or the route of a try that was refused
+    /// Only show this action: change, or the route of a refused request
     #[arg(long)]
     pub action: Option<String>,
-    /// Only what concerns this, such as a worker: its name stands in the subject or the detail
+    /// Only show entries that name this, such as a worker, in their subject or detail
     #[arg(long)]
     pub subject: Option<String>,
-    /// Only what was refused
+    /// Only show refused requests
     #[arg(long)]
     pub refused: bool,
-    /// Only what happened within this time, such as 2h or 7d
+    /// Only show entries of this latest period, such as 2h or 7d
     #[arg(long, value_name = "TIME", value_parser = units::parse_duration)]
     pub since: Option<Duration>,
-    /// At most so many entries, the newest ones
+    /// Maximum number of entries to show; the newest ones are kept
     #[arg(long, value_name = "COUNT")]
     pub limit: Option<usize>,
 }
--- a/lilacpass-cli/src/args/change.rs
+++ b/lilacpass-cli/src/args/change.rs
@@ -1,4 +1,4 @@
-//! Options of the commands that deal with the configuration and with files.
+//! Options of the commands that change the configuration or work on files.
 
 use std::{path::PathBuf, time::Duration};
 
@@ -8,16 +8,16 @@
 
 use crate::units;
 
-/// What `apply` and `diff` compare.
+/// Options that `apply` and `diff` share: which file to compare, and how.
 #[derive(Debug, Args)]
 pub struct DiffArgs {
     /// Configuration file in TOML
     pub file: PathBuf,
-    /// Revision that the file builds on; by default the one in its first line, as `lilacpass
-    /// inventory` writes it, else the one in force
+    /// Revision that the file is based on; by default the one in its first line, as written by
+    /// `lilacpass inventory`, or else the current one
     #[arg(long, value_name = "REVISION")]
     pub base: Option<Revision>,
-    /// Also remove what the file does not name; without it, the file only adds and replaces
+    /// Also remove entries that the file does not contain; by default entries are only added and replaced
     #[arg(long)]
     pub prune: bool,
 }
@@ -25,13 +25,13 @@
 /// Options of `apply`.
 #[derive(Debug, Args)]
 pub struct ApplyArgs {
-    /// What to compare.
+    /// The file to apply and how to compare it.
     #[command(flatten)]
     pub diff: DiffArgs,
-    /// Only say what the change would do
+    /// Only show what the change would do
     #[arg(long)]
     pub dry_run: bool,
-    /// Why, for the audit trail
+    /// Reason for the change, recorded in the audit trail
     #[arg(long, default_value = "")]
     pub reason: String,
 }
@@ -39,38 +39,38 @@
 /// Options of `drain`.
 #[derive(Debug, Args)]
 pub struct DrainArgs {
-    /// The worker
+    /// Name of the worker
     pub worker: WorkerId,
-    /// Let it take new work again
+    /// Let the worker accept new work again
     #[arg(long)]
     pub undo: bool,
-    /// Only say what it would do
+    /// Only show what the change would do
     #[arg(long)]
     pub dry_run: bool,
-    /// Why, for the audit trail
+    /// Reason for the change, recorded in the audit trail
     #[arg(long, default_value = "")]
     pub reason: String,
 }
 
-/// Commands on access tokens.
+/// Subcommands of `token`.
 #[derive(Debug, Subcommand)]
 pub enum TokenCommand {
-    /// Make a token, offline: print it once, and the entry for the configuration file
+    /// Create a token offline; prints the token and its entry for the configuration file
     New(NewTokenArgs),
 }
 
 /// Options of `token new`.
 #[derive(Debug, Args)]
 pub struct NewTokenArgs {
-    /// Name of the token, which stands in the audit trail
+    /// Name of the token, which appears in the audit trail
     pub name: String,
     /// Role: operator, team or read-only
     #[arg(long)]
     pub role: Role,
-    /// Team that the token speaks for, with the role team
+    /// Team that the token grants access to, required for the role team
     #[arg(long, required_if_eq("role", "team"))]
     pub team: Option<TeamId>,
-    /// Time after which the token no longer counts, such as 90d; by default it never ends
+    /// Time after which the token expires, such as 90d; by default it never expires
     #[arg(long, value_name = "TIME", value_parser = units::parse_duration)]
     pub expires_in: Option<Duration>,
 }
@@ -80,10 +80,10 @@
 pub struct ImportArgs {
     /// CSV file of the asset register
     pub file: PathBuf,
-    /// Configuration file that the workers are put into; what else it says is kept
+    /// Configuration file to merge the workers into; its other entries are kept
     #[arg(long, value_name = "FILE")]
     pub into: Option<PathBuf>,
-    /// Region of data centres that the configuration file does not know yet
+    /// Region of data centres that the configuration file does not contain yet
     #[arg(long, default_value = "")]
     pub region: String,
 }
@@ -91,13 +91,13 @@
 /// Options of `check`.
 #[derive(Debug, Args)]
 pub struct CheckArgs {
-    /// Files; those with a section [instance] or [platform] are settings, others configuration
+    /// Files to check; those with a section [instance] or [platform] are settings, others configuration
     #[arg(required_unless_present_any = ["settings", "inventory"])]
     pub files: Vec<PathBuf>,
-    /// Settings file of a lilacpassd
+    /// Settings file of lilacpassd
     #[arg(long, value_name = "FILE")]
     pub settings: Vec<PathBuf>,
-    /// Configuration file: inventory and rules
+    /// Configuration file with inventory and rules
     #[arg(long, value_name = "FILE")]
     pub inventory: Vec<PathBuf>,
 }
--- a/lilacpass-cli/src/args/help.rs
+++ b/lilacpass-cli/src/args/help.rs
@@ -1,4 +1,4 @@
-//! Texts that stand at the end of `--help`.
+//! Texts at the end of the `--help` output.
 
 macro_rules! exit_codes {
     () => {
@@ -14,40 +14,40 @@
     };
 }
 
-/// What the exit codes mean.
+/// Explanation of the exit codes.
 pub(super) const EXIT_CODES: &str = exit_codes!();
 
 /// Exit codes and examples.
 pub(super) const EXAMPLES: &str = concat!(
     exit_codes!(),
     "\n\n\
-A call goes on to the next --server only where it had no effect for certain, or where repeating it
-does no harm: questions, cancellations, jobs (their idempotency key stays the same) and idempotent
-quick requests.
+A request is sent to the next --server only if it is certain to have had no effect, or if repeating
+it is safe: read-only requests, cancellations, job submissions (with the same idempotency key) and
+idempotent quick requests.
 
 Examples:
-  # The state of the cell, from whichever entry instance answers
+  # Show the state of the cell, from the first entry instance that responds
   lilacpass --server http://10.0.0.1:7070 --server http://10.0.0.2:7070 status
 
-  # A quick page check, answered within two seconds or not at all
+  # Run a quick page check with a deadline of two seconds
   lilacpass submit --wait-answer --team shops --service auditdienst --kind page-check \\
       --idempotent --deadline 2s --payload https://example.org/
 
-  # A crawl audit over night, never twice; then wait for its end
+  # Submit a crawl audit at most once, then wait until it has ended
   lilacpass submit --team shops --service auditdienst --kind crawl --key crawl-2026-12-02 \\
       --cpu 2 --memory 4GiB --run 2h --payload @sites.txt
   lilacpass wait 0123456789abcdef0123456789abcdef
 
-  # Change the configuration: export it, edit it, look, then put it in force
+  # Change the configuration: export it, edit it, review the difference, then apply it
   lilacpass inventory > cell.toml
   lilacpass diff cell.toml
   lilacpass apply cell.toml --dry-run
   lilacpass apply cell.toml --reason 'new rack in hal-b'
 
-  # Take a worker out of service, and back
+  # Take a worker out of service and put it back
   lilacpass drain hal-a-r1-w3 --reason 'disk swap'
   lilacpass drain hal-a-r1-w3 --undo
 
-  # Who was refused during the last day, for a script
+  # List the requests that were refused during the last day as JSON
   lilacpass audit --refused --since 1d --output json"
 );
--- a/lilacpass-cli/src/commands.rs
+++ b/lilacpass-cli/src/commands.rs
@@ -1,4 +1,4 @@
-//! One module for each command, or for commands that share their work.
+//! Implementation of the commands, with one module per command or group of related commands.
 
 use clap::CommandFactory;
 
@@ -24,15 +24,15 @@
 pub mod wait;
 pub mod workers;
 
-/// What the commands work with.
+/// What every command needs: the client and the output format.
 pub struct Context {
-    /// The servers.
+    /// Client for the servers given on the command line.
     pub client: Client,
-    /// The form in which results are printed.
+    /// Output format of the results.
     pub format: Format,
 }
 
-/// Runs the command that `cli` names. `now_unix_ms` is the time, in milliseconds since 1970.
+/// Runs the command given in `cli`. `now_unix_ms` is the current time in milliseconds since 1970.
 pub async fn run(cli: Cli, now_unix_ms: u64) -> Result<Report> {
     let Cli { global, command } = cli;
     let context = &mut create_context(global)?;
@@ -65,7 +65,7 @@
     Ok(Context { client, format: global.output })
 }
 
-/// The text of the token: as given directly, else from the file.
+/// Returns the token from the option or environment variable if it is set, or else from the token file.
 fn read_token(global: &GlobalArgs) -> Result<Option<String>> {
     if let Some(token) = &global.token {
         return Ok(Some(token.clone()));
--- a/lilacpass-cli/src/commands/audit.rs
+++ b/lilacpass-cli/src/commands/audit.rs
@@ -1,4 +1,4 @@
-//! `audit`: who asked for what, when, from where, and what came of it.
+//! `audit`: lists the audit trail, with who requested what, when, from where and with which outcome.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     table, units,
 };
 
-/// Lists the entries of the audit trail that pass the filters, the newest last.
+/// Lists the entries of the audit trail that pass the filters, in the order of the server: the newest comes last.
 pub async fn run(context: &mut Context, args: &AuditArgs, now_unix_ms: u64) -> Result<Report> {
     let response = context.client.get(path::AUDIT).await?;
     let mut list: v1::AuditList = report::decode(&response)?;
@@ -21,7 +21,7 @@
     Ok(Report::ok(render(&list.entries), report::encode(&list)))
 }
 
-/// The entries that pass the filters, as of `now_unix_ms` in milliseconds since 1970.
+/// Returns the entries that pass the filters. `now_unix_ms` is the current time in milliseconds since 1970.
 pub fn select(
     entries: Vec<v1::AuditEntry>,
     args: &AuditArgs,
@@ -67,7 +67,7 @@
     table::render(table::terminal_width(), header, rows)
 }
 
-/// From and to which revision, for entries that concern the configuration.
+/// Formats the revisions before and after the change; `-` for an entry that is not about the configuration.
 fn revisions(entry: &v1::AuditEntry) -> String {
     match (entry.from_revision, entry.to_revision) {
         (0, 0) => "-".to_owned(),
--- a/lilacpass-cli/src/commands/cell.rs
+++ b/lilacpass-cli/src/commands/cell.rs
@@ -1,4 +1,4 @@
-//! `status --cell`: what all entry instances see, put together.
+//! `status --cell`: the combined view of all entry instances.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
     units,
 };
 
-/// Asks every server. It fails only where none answers.
+/// Queries every server. Fails only if all of them fail.
 pub async fn run(context: &mut Context) -> Result<Report> {
     let mut responses = Vec::new();
     for (server, mut client) in context.client.per_server() {
@@ -32,7 +32,7 @@
     Ok(Report::ok(render(&views), json))
 }
 
-/// The last error, where all servers failed.
+/// Returns the error of the last server if all servers failed.
 fn error_if_all_failed(responses: &[(Server, Result<Value>)]) -> Option<Error> {
     let mut errors = responses.iter().map(|(_, response)| response.as_ref().err().cloned());
     errors.try_fold(None, |_, error| error.map(Some)).flatten()
@@ -45,7 +45,7 @@
     }
 }
 
-/// The cell as text, no line longer than 80 characters.
+/// Formats the state of the cell as text with lines of at most 80 characters.
 pub fn render(views: &[(Server, Result<v1::StatusView>)]) -> String {
     let statuses: Vec<&v1::StatusView> =
         views.iter().filter_map(|(_, view)| view.as_ref().ok()).collect();
@@ -53,7 +53,7 @@
     [trouble, instances(&statuses), classes(&statuses)].join("\n\n")
 }
 
-/// What needs a person, and which entry instances say so.
+/// Returns the findings that need an operator, each with the entry instances that report it.
 fn findings(views: &[(Server, Result<v1::StatusView>)]) -> Vec<String> {
     let mut reported_by: BTreeMap<String, Vec<&str>> = BTreeMap::new();
     let mut found = Vec::new();
@@ -88,8 +88,8 @@
     table::render(DEFAULT_WIDTH, header, rows)
 }
 
-/// The most that any instance sees of each class. All see the jobs, each its own quick requests,
-/// so the figures can't be added up.
+/// Formats the maximum over all instances for each class. The figures can't be summed, because every instance counts
+/// all jobs, plus only its own quick requests.
 fn classes(statuses: &[&v1::StatusView]) -> String {
     let rows = Class::ALL.into_iter().map(|class| {
         let views =
--- a/lilacpass-cli/src/commands/change.rs
+++ b/lilacpass-cli/src/commands/change.rs
@@ -1,4 +1,4 @@
-//! `apply`, `diff`, `drain` and `changes`: how operators change the configuration.
+//! `apply`, `diff`, `drain` and `changes`: commands for configuration changes.
 
 use lilacpass_config::{change, inventory as toml};
 use lilacpass_core::{Verdict, ids::Revision};
@@ -17,24 +17,24 @@
     table,
 };
 
-/// Most tries of a drain that loses the race for the revision.
+/// Maximum attempts of a drain that conflicts with other changes.
 const MAX_DRAIN_ATTEMPTS: u32 = 4;
-/// Status of a change whose base is not in force any more.
+/// HTTP status of a change whose base revision is no longer the current one.
 const PRECONDITION_FAILED: u32 = 412;
 
-/// The steps from what is in force to what a file says.
+/// The changes that turn the current configuration into the one of a file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// Revision that the steps build on.
+    /// Revision that the changes are based on.
     pub base: Revision,
-    /// The steps.
+    /// The changes to send, in order.
     pub ops: Vec<v1::ConfigOp>,
-    /// Removals that were left out, as the file only adds and replaces without `--prune`.
+    /// Removals that are omitted because `--prune` is not set.
     pub left_in_place: Vec<v1::ConfigOp>,
 }
 
 impl Plan {
-    /// The steps from `current` to `wanted`; what `wanted` does not name stays without `prune`.
+    /// Computes the changes from `current` to `desired`. Without `prune`, entries that `desired` lacks are kept.
     pub fn new(
         base: Revision,
         current: &v1::Configuration,
@@ -49,7 +49,7 @@
         Self { base, ops, left_in_place: all.into_iter().filter(is_removal).collect() }
     }
 
-    /// One line for each step, and for each removal that was left out.
+    /// Formats one line per change and per omitted removal.
     fn describe(&self) -> String {
         let mut lines: Vec<String> = self.ops.iter().map(change::describe_op).collect();
         if lines.is_empty() {
@@ -69,13 +69,13 @@
     }
 }
 
-/// Shows what applying a file would change, without asking for it.
+/// Shows what applying a file would change, without sending a change request.
 pub async fn diff(context: &mut Context, args: &DiffArgs) -> Result<Report> {
     let plan = plan(context, args).await?;
     Ok(Report::ok(plan.describe(), plan.to_json()))
 }
 
-/// Puts a file in force, or says what that would do.
+/// Applies a file, or shows with `--dry-run` what that would do.
 pub async fn apply(context: &mut Context, args: &ApplyArgs) -> Result<Report> {
     let plan = plan(context, &args.diff).await?;
     if plan.ops.is_empty() {
@@ -90,10 +90,10 @@
     })
 }
 
-/// Lets a worker take no new work, or take it again.
+/// Stops a worker from accepting new work, or lets it accept work again.
 ///
-/// It does not depend on the rest of the configuration, so after a lost race it is asked for again
-/// on top of the winner; the refused try had no effect.
+/// The change is independent of the rest of the configuration. After a conflict it is therefore sent again with the
+/// new current revision as its base; the refused attempt had no effect.
 pub async fn drain(context: &mut Context, args: &DrainArgs) -> Result<Report> {
     let drain = v1::DrainWorker { worker: args.worker.to_string(), draining: !args.undo };
     let request = v1::ChangeRequest {
@@ -117,13 +117,13 @@
     })
 }
 
-/// Lists the last accepted changes.
+/// Lists the latest accepted changes.
 pub async fn list(context: &mut Context) -> Result<Report> {
     let response = context.client.get(path::CHANGES).await?;
     Report::from_response(context.format, response, render)
 }
 
-/// Reads a file and compares it with what is in force.
+/// Reads a configuration file and compares it with the current configuration.
 async fn plan(context: &mut Context, args: &DiffArgs) -> Result<Plan> {
     let text = files::read(&args.file)?;
     let desired =
@@ -137,10 +137,10 @@
     Ok(Plan::new(current_revision, &current, &desired, args.prune))
 }
 
-/// The error for a file that builds on another revision than the one in force.
+/// Returns the error for a file that is based on another revision than the current one.
 ///
-/// Guards against a lost update: a file that was exported before somebody else's change would
-/// silently take that change back, as the steps are computed against what is in force now.
+/// This prevents a lost update: the changes are computed against the current configuration, so a file that was exported
+/// before somebody else's change would silently revert that change.
 async fn stale_file_error(
     context: &mut Context,
     base: Revision,
@@ -161,24 +161,26 @@
     );
     Error::Problem(Box::new(v1::Problem {
         r#type: "tool/stale-file".to_owned(),
-        title: format!("the file builds on revision {base}, and {current_revision} is in force"),
+        title: format!(
+            "the file is based on revision {base}, but the current revision is {current_revision}"
+        ),
         status: PRECONDITION_FAILED,
-        detail: "export it again with `lilacpass inventory`, or name the --base".to_owned(),
+        detail: "export it again with `lilacpass inventory`, or set --base".to_owned(),
         verdict: Verdict::NotRun.to_string(),
         winner: Some(winner),
         ..Default::default()
     }))
 }
 
-/// Asks for a change. It is never sent to a second server after an answer was lost: the first one
-/// may have appended it.
+/// Sends a change request. It is never sent to a second server after a lost response, because the first server may have
+/// appended the change to the log.
 async fn send(context: &mut Context, base: Revision, request: &v1::ChangeRequest) -> Result<Value> {
     let headers = vec![(IF_MATCH, base.to_string())];
     let sent =
         context.client.post(path::CHANGES, headers, request, RetryPolicy::OnlyIfNotRun).await;
     sent.inspect_err(|err| {
         if matches!(err, Error::OutcomeUnknown(_)) {
-            eprintln!("lilacpass: see with `lilacpass changes` whether it is in force");
+            eprintln!("lilacpass: run `lilacpass changes` to see whether the change was applied");
         }
     })
 }
--- a/lilacpass-cli/src/commands/check.rs
+++ b/lilacpass-cli/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `check`: settings and configuration files, offline.
+//! `check`: checks settings and configuration files offline.
 
 use std::path::{Path, PathBuf};
 
@@ -13,15 +13,15 @@
     report::{self, Report},
 };
 
-/// Sections that stand in settings files only.
+/// Sections that occur in settings files only.
 const SETTINGS_SECTIONS: [&str; 2] = ["[instance]", "[platform]"];
 
-/// What a file holds.
+/// Kind of a checked file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileKind {
-    /// Settings of one `lilacpassd`.
+    /// Settings of one `lilacpassd` instance.
     Settings,
-    /// Inventory and rules.
+    /// Configuration of the cell: inventory and rules.
     Configuration,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Checks all files that `args` name, and reports every problem of each.
+/// Checks all files given in `args` and reports every problem found.
 pub fn run(args: &CheckArgs) -> Result<Report> {
     let guessed = args.files.iter().map(|path| (path, None));
     let settings = args.settings.iter().map(|path| (path, Some(FileKind::Settings)));
--- a/lilacpass-cli/src/commands/files.rs
+++ b/lilacpass-cli/src/commands/files.rs
@@ -1,4 +1,4 @@
-//! Files that the commands read.
+//! Reading of input files and formatting of configuration files and their problems.
 
 use std::{
     fs,
@@ -11,10 +11,10 @@
 
 use crate::error::{Error, Result};
 
-/// Name that stands for standard input.
+/// File name that denotes standard input.
 const STDIN: &str = "-";
 
-/// The text of a file, or of standard input where `path` is `-`.
+/// Reads a text file, or standard input if `path` is `-`.
 pub fn read(path: &Path) -> Result<String> {
     let text = if path.as_os_str() == STDIN {
         let mut text = String::new();
@@ -25,10 +25,9 @@
     text.map_err(|err| Error::File(path.display().to_string(), format!(" {err}")))
 }
 
-/// A configuration as the text of a file that can be added to.
+/// Formats a configuration as the text of a TOML file that can be extended by hand.
 ///
-/// Sections without an entry are left out: a person who adds `[[teams]]` below `teams = []` would
-/// be told of a duplicate key.
+/// Empty sections are omitted: adding `[[teams]]` below `teams = []` would be an error for a duplicate key.
 pub fn to_toml(configuration: &v1::Configuration) -> String {
     const EMPTY_SECTION: &str = " = []";
     let text = inventory::to_toml(configuration);
@@ -40,12 +39,12 @@
     kept.join("\n").trim().to_owned()
 }
 
-/// One line for each problem of a file, with its place in the form that editors jump to.
+/// Formats each problem of a file as one line in the form `path:line:column: problem`, which editors can jump to.
 pub fn describe_problems(path: &str, problems: &[Problem]) -> Vec<String> {
     problems.iter().map(|problem| format!("{path}:{}", describe_with_position(problem))).collect()
 }
 
-/// The error for a file with problems. The first line names the first one.
+/// Returns the error for a file with problems, with one line per problem.
 pub fn invalid_file(path: &Path, problems: &[Problem]) -> Error {
     let path = path.display().to_string();
     let lines: Vec<String> = problems.iter().map(describe_with_position).collect();
--- a/lilacpass-cli/src/commands/import.rs
+++ b/lilacpass-cli/src/commands/import.rs
@@ -1,4 +1,4 @@
-//! `import-csv`: the CSV of an asset register as a configuration file.
+//! `import-csv`: converts the CSV file of an asset register into a configuration file.
 
 use lilacpass_config::inventory;
 use lilacpass_schema::v1;
@@ -10,7 +10,7 @@
     report::{self, Report},
 };
 
-/// Turns the register into a configuration, on top of the file that `args` name, if any.
+/// Converts the register into a configuration, merged into the file given by `--into` if there is one.
 pub fn run(args: &ImportArgs) -> Result<Report> {
     let csv = files::read(&args.file)?;
     let workers = inventory::parse_csv(&csv)
@@ -26,10 +26,10 @@
     Ok(Report::ok(files::to_toml(&merged), report::encode(&merged)))
 }
 
-/// `base` with the workers of a register, each in the place of the one of its name.
+/// Merges the workers of a register into `base`, replacing workers of the same name.
 ///
-/// A drain stays as it is, since a register knows nothing of it. A data centre that `base` does
-/// not know is added, in `region`.
+/// Whether a worker is draining is kept from `base`, because a register does not contain it. A data centre that `base`
+/// lacks is added with the given `region`.
 pub fn import(
     base: &v1::Configuration,
     workers: Vec<v1::WorkerSpec>,
--- a/lilacpass-cli/src/commands/jobs.rs
+++ b/lilacpass-cli/src/commands/jobs.rs
@@ -1,4 +1,4 @@
-//! `jobs`, `explain` and `cancel`.
+//! `jobs`, `explain` and `cancel`: commands for submitted jobs.
 
 use lilacpass_core::{Class, ids::JobId};
 use lilacpass_schema::v1;
@@ -13,12 +13,12 @@
     table, units,
 };
 
-/// Whether a job has ended, so that its state does not change any more.
+/// Returns whether a job has ended, so that its state no longer changes.
 pub fn has_ended(job: &v1::JobView) -> bool {
     matches!(job.state.as_str(), "succeeded" | "failed" | "cancelled" | "may_have_run")
 }
 
-/// Lists jobs, or shows one.
+/// Lists the jobs that pass the filters, or shows a single job.
 pub async fn list(context: &mut Context, args: &JobsArgs) -> Result<Report> {
     if let Some(id) = args.job {
         let response = context.client.get(&path::job(id)).await?;
@@ -35,13 +35,13 @@
     Ok(Report::ok(render(&list.jobs), report::encode(&list)))
 }
 
-/// Says why a job waits.
+/// Shows why a job waits.
 pub async fn explain(context: &mut Context, id: JobId) -> Result<Report> {
     let response = context.client.get(&path::explain(id)).await?;
     Report::from_response(context.format, response, render_explanation)
 }
 
-/// Cancels a job. Its state afterwards tells whether it had run.
+/// Cancels a job and shows its resulting state, which tells whether it had run.
 pub async fn cancel(context: &mut Context, id: JobId) -> Result<Report> {
     let response = context.client.delete(&path::job(id)).await?;
     if response == Value::Null {
@@ -50,12 +50,12 @@
     Report::from_response(context.format, response, describe)
 }
 
-/// Whether a filter is absent or asks for `value`.
-pub fn matches(wanted: Option<&str>, value: &str) -> bool {
-    wanted.is_none_or(|wanted| wanted == value)
+/// Returns whether `value` passes an optional filter.
+pub fn matches(filter: Option<&str>, value: &str) -> bool {
+    filter.is_none_or(|filter| filter == value)
 }
 
-/// A job in a few lines.
+/// Formats the details of a job, one per line.
 pub fn describe(job: &v1::JobView) -> String {
     let mut lines = vec![
         format!("job      {}", job.job_id),
--- a/lilacpass-cli/src/commands/overlay.rs
+++ b/lilacpass-cli/src/commands/overlay.rs
@@ -1,9 +1,9 @@
-//! One configuration laid over another one: entries are added or replaced, none is removed.
+//! Merging of two configurations: entries are added or replaced, but never removed.
 
 use lilacpass_schema::v1;
 
-/// `base` with each entry of `over` added, or put in the place of the one of its name. The rules
-/// are those of `over`, where it has any.
+/// Merges `overrides` into `base`: its entries are added, or replace entries of the same name. The rules of `overrides`,
+/// if present, replace those of `base`.
 pub fn overlay(base: &v1::Configuration, overrides: &v1::Configuration) -> v1::Configuration {
     v1::Configuration {
         data_centres: merge_by_name(&base.data_centres, &overrides.data_centres, |entry| {
--- a/lilacpass-cli/src/commands/status.rs
+++ b/lilacpass-cli/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `status`: the state of the cell at a glance, within 80 columns.
+//! `status`: summarises the state of the cell within 80 columns.
 
 use std::collections::BTreeMap;
 
@@ -14,17 +14,16 @@
     units,
 };
 
-/// Most names that are listed in one line of trouble.
+/// Maximum number of names listed in one finding.
 const MAX_NAMES: usize = 12;
 
-/// Shows the state of the cell as the server sees it.
+/// Shows the state of the cell as one entry instance sees it.
 pub async fn run(context: &mut Context) -> Result<Report> {
     let response = context.client.get(path::STATUS).await?;
     Report::from_response(context.format, response, render)
 }
 
-/// The state as text, as one entry instance sees it: first what needs a person, then the rest. No line is longer than 80
-/// characters.
+/// Formats the status as text with lines of at most 80 characters; the findings that need an operator come first.
 pub fn render(status: &v1::StatusView) -> String {
     let parts =
         [trouble(status), summary(status), data_centres(status), members(status), classes(status)];
@@ -35,7 +34,7 @@
     render_findings(&findings(status))
 }
 
-/// All that needs a person, or that nothing does.
+/// Formats the findings that need an operator, or states that there are none.
 pub fn render_findings(findings: &[String]) -> String {
     if findings.is_empty() {
         return "ALL WELL".to_owned();
@@ -49,7 +48,7 @@
     text.join("\n")
 }
 
-/// What needs a person, one line for each thing.
+/// Returns what needs an operator, one line per finding.
 pub fn findings(status: &v1::StatusView) -> Vec<String> {
     let mut found = Vec::new();
     if !status.ready {
@@ -78,7 +77,7 @@
     found
 }
 
-/// What a way of holding other than the lease means for the work.
+/// Describes the consequence for new work if shards are held in any mode other than by lease.
 fn holding_finding(holding: &v1::HoldingView) -> Option<String> {
     let shards = holding.shards;
     match holding.mode.as_str() {
@@ -92,7 +91,7 @@
     }
 }
 
-/// A count and the names behind it, where there are any.
+/// Formats a count followed by the names, of which at most [`MAX_NAMES`] are listed; `None` if there are no names.
 fn count_and_names(what: &str, names: &[String]) -> Option<String> {
     if names.is_empty() {
         return None;
@@ -119,14 +118,14 @@
     .join("\n")
 }
 
-/// How many shards are held in which way.
+/// Formats how many shards are held in each mode.
 pub fn shards(status: &v1::StatusView) -> String {
     let modes: Vec<String> =
         status.holdings.iter().map(|h| format!("{} {}", h.shards, h.mode)).collect();
     if modes.is_empty() { "none".to_owned() } else { modes.join(", ") }
 }
 
-/// The time since something was last heard; the greatest number stands for never.
+/// Formats the time since the last contact; `u64::MAX` means that there was none.
 fn format_age(silent_ms: u64) -> String {
     match silent_ms {
         u64::MAX => "never".to_owned(),
@@ -134,7 +133,7 @@
     }
 }
 
-/// How many members each data centre has, and which revisions are in force there.
+/// Formats the number of members in each state and the configuration revisions per data centre.
 fn data_centres(status: &v1::StatusView) -> String {
     let mut groups: BTreeMap<&str, Vec<&v1::MemberView>> = BTreeMap::new();
     for member in &status.members {
@@ -148,7 +147,7 @@
     table::render(DEFAULT_WIDTH, ["DATA CENTRE", "ALIVE", "LEAVING", "SILENT", "REVISION"], rows)
 }
 
-/// The revision of all members, or the lowest and the highest.
+/// Formats the common revision of the members, or the lowest and the highest one.
 fn revisions(members: &[&v1::MemberView]) -> String {
     let lowest = members.iter().map(|m| m.revision).min().unwrap_or(0);
     let highest = members.iter().map(|m| m.revision).max().unwrap_or(0);
@@ -168,7 +167,7 @@
     table::render(DEFAULT_WIDTH, ["MEMBER", "DATA CENTRE", "STATE", "REVISION", "HEARD"], rows)
 }
 
-/// When a member was last heard; a silent one without a time never was.
+/// Formats the time since the last contact with a member; 0 for a silent member means that there was none.
 fn last_heard(member: &v1::MemberView) -> String {
     match member.silent_ms {
         0 if member.state == "silent" => "never".to_owned(),
@@ -176,7 +175,7 @@
     }
 }
 
-/// One line for each class, the most urgent first.
+/// Formats one line per class, the most urgent class first.
 fn classes(status: &v1::StatusView) -> String {
     let rank = |class: &v1::ClassView| class.class.parse().unwrap_or(Class::Batch);
     let mut classes: Vec<&v1::ClassView> = status.classes.iter().collect();
--- a/lilacpass-cli/src/commands/submit.rs
+++ b/lilacpass-cli/src/commands/submit.rs
@@ -1,4 +1,4 @@
-//! `submit`: a job, or a quick request with its answer.
+//! `submit`: submits a job, or sends a quick request and prints its result.
 
 use std::path::Path;
 
@@ -18,10 +18,10 @@
     units,
 };
 
-/// Submits what `args` describe.
+/// Submits the job or quick request that `args` describe.
 pub async fn run(context: &mut Context, args: &SubmitArgs) -> Result<Report> {
     let spec = job_spec(args)?;
-    // A key is always sent, so that a call that is repeated names the same job.
+    // A key is always sent, so that repeating the request on another server refers to the same job.
     let key = args.key.clone().unwrap_or_else(random_key);
     if args.wait_answer {
         return send_quick_request(context, args, &spec, key).await;
@@ -48,7 +48,7 @@
     key: String,
 ) -> Result<Report> {
     let headers = vec![(IDEMPOTENCY_KEY, key)];
-    // Without an append to the log, servers don't know the key of a quick request of another one.
+    // Quick requests are not appended to the log, so a server does not know the keys that other servers received.
     let retry_policy =
         if spec.idempotent { RetryPolicy::Idempotent } else { RetryPolicy::OnlyIfNotRun };
     let client = &mut context.client;
@@ -66,24 +66,24 @@
     Ok(Report { exit, ..Report::ok(quick.result, response) })
 }
 
-/// Waits for the end of a job that was just accepted.
+/// Waits until a job that was just accepted has ended.
 async fn follow(context: &mut Context, job: &v1::JobView) -> Result<Report> {
     let id: JobId = job.job_id.parse().map_err(|err| Error::InvalidResponse(format!("{err}")))?;
     eprintln!("lilacpass: job {id}");
     wait::run(context, &WaitArgs { job: id, limit: None, quiet: false }).await
 }
 
-/// The exit for a job that was accepted: success, unless the same key had named it before and it
-/// has ended badly since.
+/// Returns the exit code for an accepted job. This is success unless the key belongs to an earlier submission whose job
+/// has already ended without success.
 fn exit_for_accepted(job: &v1::JobView) -> Exit {
     if jobs::has_ended(job) { Exit::from_job(job) } else { Exit::Ok }
 }
 
-/// Tells how to find out about a submission that is in doubt.
+/// Explains how to resolve a submission whose outcome is unknown: submitting again with the same key is safe.
 fn suggest_same_key(err: &Error, key: &str) {
     if err.exit() == Exit::MayHaveRun {
         eprintln!(
-            "lilacpass: submit again with --key {key} to get the same job, never a second one"
+            "lilacpass: submit again with --key {key} to get the same job instead of a second one"
         );
     }
 }
@@ -115,7 +115,8 @@
     args.class.unwrap_or(default).into()
 }
 
-/// The declared size; none where nothing is declared, so that the service's default holds.
+/// Returns the declared size of each task, or `None` if no size option is given, so that the default of the service
+/// applies.
 fn task_size(args: &SubmitArgs) -> Option<v1::Amount> {
     let SubmitArgs { cpu, memory, accelerators, slots, .. } = args;
     let declared = cpu.is_some() || memory.is_some() || accelerators.is_some() || slots.is_some();
--- a/lilacpass-cli/src/commands/token.rs
+++ b/lilacpass-cli/src/commands/token.rs
@@ -1,4 +1,4 @@
-//! `token new`: makes an access token without asking any server.
+//! `token new`: creates an access token offline.
 
 use lilacpass_config::access;
 use lilacpass_schema::v1;
@@ -11,11 +11,11 @@
     report::Report,
 };
 
-/// Makes a token that is valid from `now_unix_ms`, in milliseconds since 1970.
+/// Creates a token whose lifetime, if limited, starts at `now_unix_ms`, in milliseconds since 1970.
 pub fn new(args: &NewTokenArgs, now_unix_ms: u64) -> Result<Report> {
     const MS_PER_S: u64 = 1_000;
     if args.team.is_some() && args.role != access::Role::Team {
-        return Err(Error::Usage("--team goes with --role team only".to_owned()));
+        return Err(Error::Usage("--team requires --role team".to_owned()));
     }
     let (token, entry) = access::new_token(&args.name);
     let lifetime_s = args.expires_in.map(|lifetime| lifetime.as_secs());
@@ -27,7 +27,7 @@
     };
     let configuration = v1::Configuration { tokens: vec![entry.clone()], ..Default::default() };
     let human = format!(
-        "The token, shown only now; give it to its bearer over a safe way:\n\n{token}\n\n\
+        "The token, which is shown only once; pass it on through a secure channel:\n\n{token}\n\n\
          The entry for the configuration file:\n\n{}",
         files::to_toml(&configuration)
     );
--- a/lilacpass-cli/src/commands/wait.rs
+++ b/lilacpass-cli/src/commands/wait.rs
@@ -1,4 +1,4 @@
-//! `wait`: follows a job to its end, through whichever entry instance answers.
+//! `wait`: follows a job to its end, failing over between entry instances.
 
 use std::time::Duration;
 
@@ -16,16 +16,16 @@
     units,
 };
 
-/// Longest time that a server holds one call for news.
+/// Maximum time that a server is asked to hold one request until the job has ended.
 const MAX_HOLD: Duration = Duration::from_secs(10);
-/// Time that the answer may take beyond that, before the server counts as lost.
+/// Time that the response may take beyond that before the request times out.
 const RESPONSE_MARGIN: Duration = Duration::from_secs(5);
-/// Time after which progress is shown although nothing has changed.
+/// Interval of progress messages while the state of the job does not change.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(60);
-/// Pause after all servers failed.
+/// Pause after all servers failed, or after a server responded sooner than asked to.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Waits until the job has ended, or the limit of `args` is reached.
+/// Waits until the job has ended or the time limit given in `args` has passed.
 pub async fn run(context: &mut Context, args: &WaitArgs) -> Result<Report> {
     let started = Instant::now();
     let max_outage = context.client.timeout();
@@ -39,7 +39,7 @@
     loop {
         let remaining = remaining_time(args.limit, started.elapsed());
         let requested_at = Instant::now();
-        // The first look holds no call, so that a person sees at once how things stand.
+        // The server responds to the first request immediately, so that the user sees the current state at once.
         let hold = if watch.found { remaining } else { Duration::ZERO };
         match fetch_job(context, args, hold).await {
             Ok((job, response)) => {
@@ -47,7 +47,7 @@
                 if jobs::has_ended(&job) || remaining.is_zero() {
                     return Ok(ended_report(&job, response));
                 }
-                // A server that answers at once, instead of holding the call, is not asked in a loop.
+                // A server that responds immediately instead of holding the request must not cause a busy loop.
                 if !hold.is_zero() && requested_at.elapsed() < RETRY_DELAY {
                     time::sleep(RETRY_DELAY.min(remaining)).await;
                 }
@@ -64,19 +64,22 @@
     }
 }
 
-/// What is known of the job so far.
+/// What the tool knows about the job, and the progress printed so far.
 struct JobWatch<'a> {
     args: &'a WaitArgs,
+    /// Time of the last response that contained the job.
     last_seen: Instant,
-    /// Whether any server has shown the job.
+    /// Whether any server has returned the job.
     found: bool,
-    /// The last line of progress, and when it was shown.
+    /// The last progress line printed.
     last_line: String,
+    /// When `last_line` was printed.
     last_line_at: Instant,
 }
 
 impl JobWatch<'_> {
-    /// Takes note of the job, and shows a line of progress where its state has changed.
+    /// Records that the job was returned. Prints a progress line if its state or reason has changed or the interval has
+    /// passed, unless the job has ended or `--quiet` is set.
     fn record_job(&mut self, job: &v1::JobView, elapsed: Duration) {
         self.last_seen = Instant::now();
         self.found = true;
@@ -92,17 +95,17 @@
         self.last_line_at = Instant::now();
     }
 
-    /// Shows that no server answers.
+    /// Prints a transient error, unless `--quiet` is set.
     fn report_error(&self, err: &Error) {
         if !self.args.quiet {
-            eprintln!("lilacpass: {err}; still trying");
+            eprintln!("lilacpass: {err}; retrying");
         }
     }
 
-    /// Whether an error may pass by itself.
+    /// Returns whether an error may resolve by itself.
     ///
-    /// A job that was seen and is now unknown is one: the next server may not have read the log as
-    /// far as the one that was lost.
+    /// This includes "not found" for a job that was returned before: after a failover, the next server may not have
+    /// read the log as far as the previous one.
     fn is_transient(&self, err: &Error) -> bool {
         const NOT_FOUND: u32 = 404;
         const TOO_MANY_REQUESTS: u32 = 429;
@@ -118,7 +121,7 @@
     }
 }
 
-/// Asks for the job once, holding the call for news as long as `hold`.
+/// Requests the job once; the server holds the request for up to `hold`, and at most [`MAX_HOLD`], until it has ended.
 async fn fetch_job(
     context: &mut Context,
     args: &WaitArgs,
@@ -130,7 +133,7 @@
     Ok((report::decode(&response)?, response))
 }
 
-/// Time until the limit; without one, always as long as a call takes.
+/// Returns the time remaining until `limit`, or [`MAX_HOLD`] if there is no limit.
 fn remaining_time(limit: Option<Duration>, elapsed: Duration) -> Duration {
     limit.map_or(MAX_HOLD, |limit| limit.saturating_sub(elapsed))
 }
--- a/lilacpass-cli/src/commands/workers.rs
+++ b/lilacpass-cli/src/commands/workers.rs
@@ -1,4 +1,4 @@
-//! `workers`: what each worker has and gives, who holds it, and for whom it works.
+//! `workers`: lists workers with their capacity, assigned resources, holder and tasks.
 
 use lilacpass_schema::v1;
 
@@ -11,7 +11,7 @@
     table, units,
 };
 
-/// Lists workers, or shows one with its tasks.
+/// Lists the workers that pass the filters, or shows a single worker with its tasks.
 pub async fn run(context: &mut Context, args: &WorkersArgs) -> Result<Report> {
     let response = context.client.get(path::WORKERS).await?;
     let mut list: v1::WorkerList = report::decode(&response)?;
@@ -47,7 +47,7 @@
     table::render(table::terminal_width(), header, rows)
 }
 
-/// One worker in full.
+/// Formats all details of a worker, one per line.
 fn describe(worker: &v1::WorkerView) -> String {
     let (given, capacity) = amounts(worker);
     let mut lines = vec![
@@ -72,6 +72,7 @@
     lines.join("\n")
 }
 
+/// Returns the amounts that are assigned and that the worker has in total.
 fn amounts(worker: &v1::WorkerView) -> (v1::Amount, v1::Amount) {
     (worker.given.unwrap_or_default(), worker.capacity.unwrap_or_default())
 }
--- a/lilacpass-cli/src/error.rs
+++ b/lilacpass-cli/src/error.rs
@@ -1,4 +1,4 @@
-//! The error type of the tool, and the exit code and problem document of each error.
+//! Error type of the tool, with the exit code and problem document of each error.
 
 use lilacpass_core::Verdict;
 use lilacpass_schema::v1;
@@ -13,43 +13,43 @@
     /// Why a command did not succeed.
     #[derive(Debug, Clone, PartialEq)]
     pub enum Error {
-        /// The command line does not make sense.
+        /// The command line is invalid.
         Usage(detail: String) {
             display("{detail}")
         }
-        /// A file can't be read, or what it says is wrong: its path, and the place in it or a space
-        /// followed by the reason.
+        /// A file can't be read or its content is invalid. Holds its path and the text after the colon: the position
+        /// and the problem, or a space followed by the reason.
         File(path: String, detail: String) {
             display("{path}:{detail}")
         }
-        /// The server refused the request, or it failed there.
+        /// The server refused the request or failed to serve it.
         Problem(problem: Box<v1::Problem>) {
             display("{}", describe(problem))
         }
-        /// No connection to any server; nothing was sent.
+        /// No server could be connected to, so nothing was sent.
         Unreachable(detail: String) {
             display("no server can be reached: {detail}")
         }
-        /// A question was sent that changes nothing, and no answer came.
+        /// A read-only request got no response.
         NoResponse(detail: String) {
-            display("no answer: {detail}")
+            display("no response: {detail}")
         }
-        /// A request was sent, no answer came, and nothing proves that it had no effect.
+        /// A request that may have an effect got no response, and nothing proves that it had no effect.
         OutcomeUnknown(detail: String) {
-            display("no answer, and it may have run: {detail}")
+            display("no response, and the request may have taken effect: {detail}")
         }
-        /// The answer is not what this version of the tool understands.
+        /// The response does not have the form that this version of the tool expects.
         InvalidResponse(detail: String) {
             display(
-                "the answer can't be read ({detail}); the server may be of another version, \
-                 --output json shows its answer as it came"
+                "invalid response ({detail}); the server may be of another version, \
+                 --output json prints the response as received"
             )
         }
     }
 }
 
 impl Error {
-    /// The exit code that tells a script what happened.
+    /// Returns the exit code, which tells a script what happened.
     pub fn exit(&self) -> Exit {
         match self {
             Self::Usage(_) | Self::File(..) => Exit::Usage,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The error as a problem document, for `--output json`.
+    /// Converts the error into a problem document, which is printed with `--output json`.
     pub fn to_problem(&self) -> v1::Problem {
         if let Self::Problem(problem) = self {
             return v1::Problem::clone(problem);
@@ -90,13 +90,13 @@
     }
 }
 
-/// Whether another change won the race for the same revision.
+/// Returns whether a change was refused because another change for the same base revision was accepted first.
 pub fn is_conflict(problem: &v1::Problem) -> bool {
     const PRECONDITION_FAILED: u32 = 412;
     problem.winner.is_some() || problem.status == PRECONDITION_FAILED
 }
 
-/// One or more lines for people: what was refused, the verdict, when coming back helps, who won.
+/// Formats a problem as text: what was refused, the verdict, when to retry, and the change that won a conflict.
 fn describe(problem: &v1::Problem) -> String {
     let mut text = if problem.title.is_empty() {
         format!("HTTP status {}", problem.status)
--- a/lilacpass-cli/src/exit.rs
+++ b/lilacpass-cli/src/exit.rs
@@ -1,31 +1,31 @@
-//! Exit codes, which tell verdicts apart so that a script can decide without reading text.
+//! Exit codes. They distinguish the verdicts, so that a script can decide without parsing text.
 
 use std::process::ExitCode;
 
 use lilacpass_core::Verdict;
 use lilacpass_schema::v1;
 
-/// How the tool ends.
+/// Outcome of a command, which determines the exit code of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Exit {
-    /// Done; work ran and succeeded.
+    /// The command succeeded, and so did the work if there was any.
     Ok,
-    /// The command line or a file is wrong; nothing was sent.
+    /// The command line or a file is invalid; nothing was sent.
     Usage,
-    /// Proved not to have run, or refused without effect.
+    /// The work is proved not to have run, or the request was refused without effect.
     NotRun,
-    /// It was sent, and nothing proves that it did not start or take effect; or it goes on.
+    /// The request was sent and nothing proves that it had no effect, or the work is still running.
     MayHaveRun,
-    /// It ran to its end, with an error.
+    /// The work ran to its end with an error.
     Failed,
-    /// Another change won the race for the same revision.
+    /// Another change for the same base revision was accepted first.
     Conflict,
-    /// No server could be reached; nothing was sent that could have an effect.
+    /// No server responded, and nothing was sent that could have an effect.
     Unreachable,
 }
 
 impl Exit {
-    /// The number that the process exits with.
+    /// Returns the exit code of the process.
     pub fn code(self) -> u8 {
         match self {
             Self::Ok => 0,
@@ -38,9 +38,9 @@
         }
     }
 
-    /// The exit for a request that did not succeed, from its verdict as text.
+    /// Returns the exit code for a request that did not succeed, given the text of its verdict.
     ///
-    /// A missing or unknown verdict proves nothing, so it counts as "may have run".
+    /// A missing or unknown verdict proves nothing, so it is treated as "may have run".
     pub fn from_verdict(verdict: &str) -> Self {
         match verdict.parse() {
             Ok(Verdict::NotRun) => Self::NotRun,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The exit for a job that has ended. A job that has not ended counts as "may have run".
+    /// Returns the exit code for a job. A job that has not ended is treated as "may have run".
     pub fn from_job(job: &v1::JobView) -> Self {
         match job.state.as_str() {
             "succeeded" => Self::Ok,
--- a/lilacpass-cli/src/lib.rs
+++ b/lilacpass-cli/src/lib.rs
@@ -1,7 +1,7 @@
 //! `lilacpass`, the command-line tool for operators and scripts.
 //!
-//! [`args`] is the command line, [`commands`] does what it asks for through [`api`], and a
-//! [`report::Report`] or an [`error::Error`] says what came of it and how to exit.
+//! [`args`] parses the command line and [`commands`] runs the command, sending requests through [`api`]. The result, a
+//! [`report::Report`] or an [`error::Error`], determines the output and the exit code.
 
 pub mod api;
 pub mod args;
--- a/lilacpass-cli/src/main.rs
+++ b/lilacpass-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The `lilacpass` program: parses the command line, runs the command, prints what came of it.
+//! The `lilacpass` program: parses the command line, runs the command and prints its result.
 
 use std::{
     io::{self, ErrorKind},
@@ -28,7 +28,7 @@
     print(&report, format).into()
 }
 
-/// Prints a report. A reader that goes away, such as `head`, is no failure.
+/// Prints a report. A closed pipe, for example by `head`, is not an error.
 fn print(report: &Report, format: Format) -> Exit {
     match report.write(format, &mut io::stdout().lock()) {
         Ok(()) => report.exit,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Writes the error for people to standard error; for scripts the document goes to standard output.
+/// Prints the error to standard error in human format; with JSON output, the problem document becomes the report.
 fn report_error(err: &Error, format: Format) -> Report {
     if format == Format::Human {
         eprintln!("lilacpass: {err}");
--- a/lilacpass-cli/src/report.rs
+++ b/lilacpass-cli/src/report.rs
@@ -1,4 +1,4 @@
-//! What a command hands back: text for people, JSON for scripts, and how to exit.
+//! Result of a command: text for people, JSON for scripts, and the exit code.
 
 use std::io::{self, Write};
 
@@ -11,7 +11,7 @@
     exit::Exit,
 };
 
-/// The form in which results are printed.
+/// Output format of results.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Format {
     /// Text and tables for people.
@@ -21,27 +21,27 @@
     Json,
 }
 
-/// The outcome of a command that got as far as an answer.
+/// Result of a command that completed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// Text for people, without the last newline.
+    /// Text for people, without the final newline.
     pub human: String,
-    /// The same for scripts. An answer of the server stands here as it came, so that a field that
-    /// this version of the tool does not know gets through.
+    /// JSON document for scripts. A response of the server is kept as received, so that fields that are unknown to this
+    /// version of the tool are passed through.
     pub json: Value,
-    /// How to exit.
+    /// Outcome that determines the exit code.
     pub exit: Exit,
 }
 
 impl Report {
-    /// A report of success.
+    /// Creates a report of success.
     pub fn ok(human: impl Into<String>, json: Value) -> Self {
         Self { human: human.into(), json, exit: Exit::Ok }
     }
 
-    /// A report of success on an `answer` of the server, which `render` makes readable.
+    /// Creates a report of success for a response of the server, whose text is produced by `render`.
     ///
-    /// With [`Format::Json`] the answer is passed on without being understood.
+    /// With [`Format::Json`] the response is passed through without being decoded.
     pub fn from_response<T: DeserializeOwned>(
         format: Format,
         response: Value,
@@ -54,7 +54,7 @@
         Ok(Self::ok(render(&view), response))
     }
 
-    /// Writes the report to `out` in the form asked for.
+    /// Writes the report to `out` in the given format.
     pub fn write(&self, format: Format, out: &mut impl Write) -> io::Result<()> {
         match format {
             Format::Human if self.human.is_empty() => Ok(()),
@@ -64,17 +64,17 @@
     }
 }
 
-/// Reads a JSON value as a message of the schema.
+/// Decodes a JSON value as a message of the schema.
 pub fn decode<T: DeserializeOwned>(value: &Value) -> Result<T> {
     T::deserialize(value).map_err(|err| Error::InvalidResponse(err.to_string()))
 }
 
-/// Writes a message of the schema as a JSON value.
+/// Encodes a message of the schema as a JSON value.
 pub fn encode<T: Serialize>(message: &T) -> Value {
     serde_json::to_value(message).unwrap_or(Value::Null)
 }
 
-/// An error as the JSON document that a script reads from standard output.
+/// Encodes an error as the JSON problem document that scripts read from standard output.
 pub fn error_json(error: &Error) -> Value {
     encode::<v1::Problem>(&error.to_problem())
 }
--- a/lilacpass-cli/src/table.rs
+++ b/lilacpass-cli/src/table.rs
@@ -1,24 +1,24 @@
-//! Tables for people, no wider than the terminal.
+//! Text tables that fit the width of the terminal.
 
 use std::env;
 
 use comfy_table::{ColumnConstraint, ContentArrangement, Table, presets};
 
-/// Width that every table fits into where the terminal does not say its own.
+/// Table width in columns if the width of the terminal is unknown.
 pub const DEFAULT_WIDTH: u16 = 80;
 
-/// Columns of the terminal, as the shell exports them in `COLUMNS`.
+/// Returns the width of the terminal in columns, taken from the environment variable `COLUMNS`.
 pub fn terminal_width() -> u16 {
     const MIN_WIDTH: u16 = 40;
     let columns = env::var("COLUMNS").ok().and_then(|text| text.parse().ok());
     columns.unwrap_or(DEFAULT_WIDTH).max(MIN_WIDTH)
 }
 
-/// Longest name that is kept in one piece in the first column, such as the id of a job, which
-/// people copy from there.
+/// Maximum width at which the first column is not wrapped, so that names such as job ids can be copied from it.
 const MAX_UNWRAPPED_CHARS: u16 = 36;
 
-/// Lays out rows under a header; long cells are wrapped, those of the first column last.
+/// Formats rows under a header and wraps long cells. The first column is wrapped only if it is wider than
+/// [`MAX_UNWRAPPED_CHARS`].
 pub fn render<const N: usize>(
     width: u16,
     header: [&str; N],
@@ -41,8 +41,8 @@
     table.trim_fmt()
 }
 
-/// Breaks a list of words into lines of at most `width` characters, indented after the first. A
-/// word that is longer than a line is broken too.
+/// Wraps `first_words` followed by `words` into lines of at most `width` characters, all but the first indented. A word
+/// that is longer than a line is split.
 pub fn wrap(first_words: &str, words: &[String], width: usize) -> String {
     const INDENT: &str = "    ";
     let mut lines = vec![first_words.to_owned()];
--- a/lilacpass-cli/src/units.rs
+++ b/lilacpass-cli/src/units.rs
@@ -1,4 +1,4 @@
-//! Sizes and durations as people write and read them.
+//! Parsing and formatting of sizes, durations and times for people.
 
 use std::time::Duration;
 
@@ -11,13 +11,16 @@
 const MS_PER_H: u64 = 60 * MS_PER_MIN;
 const MS_PER_DAY: u64 = 24 * MS_PER_H;
 
-/// Units of a duration, the longest first; "ms" stands before "m" and "s", which end it too.
+/// Units of a duration with their length in milliseconds. "ms" must come before "m" and "s": the units are tried as
+/// suffixes in this order, and "s" is a suffix of "ms".
 const DURATION_UNITS: [(&str, u64); 5] =
     [("ms", 1), ("d", MS_PER_DAY), ("h", MS_PER_H), ("m", MS_PER_MIN), ("s", MS_PER_S)];
 
-/// Reads a duration with its unit, such as `250ms`, `90s`, `15m`, `8h` or `30d`.
+/// Parses a duration with its unit, such as `250ms`, `90s`, `15m`, `8h` or `30d`.
 pub fn parse_duration(text: &str) -> Result<Duration, String> {
-    let invalid = || format!("{text:?} is no duration: give a whole number and ms, s, m, h or d");
+    let invalid = || {
+        format!("{text:?} is not a duration: expected a whole number followed by ms, s, m, h or d")
+    };
     let (digits, unit_ms) = DURATION_UNITS
         .iter()
         .find_map(|(unit, ms)| text.strip_suffix(unit).map(|digits| (digits, *ms)))
@@ -26,14 +29,14 @@
     count.checked_mul(unit_ms).map(Duration::from_millis).ok_or_else(invalid)
 }
 
-/// Reads processors: cores such as `2` or `1.5`, or thousandths such as `500m`.
+/// Parses a CPU amount: cores such as `2` or `1.5`, or millicores such as `500m`.
 pub fn parse_cpu(text: &str) -> Result<Millicores, String> {
     const MAX_CORES: f64 = 1e6;
     if text.ends_with(Millicores::UNIT) {
         return text.parse().map_err(|err| format!("{err}"));
     }
     let cores: f64 = text.parse().map_err(|_| {
-        format!("{text:?} is no number of processors: give cores (1.5) or thousandths (1500m)")
+        format!("{text:?} is not a CPU amount: expected cores (1.5) or millicores (1500m)")
     })?;
     if !(0.0..=MAX_CORES).contains(&cores) {
         return Err(format!("{text:?} is not between 0 and {MAX_CORES} cores"));
@@ -41,9 +44,10 @@
     Ok(Millicores((cores * MILLICORES_PER_CORE).round() as u64))
 }
 
-/// Reads memory with its unit, such as `512MiB` or `4GiB`.
+/// Parses a memory size with its unit, such as `512MiB` or `4GiB`.
 pub fn parse_memory(text: &str) -> Result<Mebibytes, String> {
-    let invalid = || format!("{text:?} is no size of memory: give a whole number and MiB or GiB");
+    let invalid =
+        || format!("{text:?} is not a memory size: expected a whole number followed by MiB or GiB");
     if let Some(gib) = text.strip_suffix("GiB") {
         let gib: u64 = gib.trim_end().parse().map_err(|_| invalid())?;
         return gib.checked_mul(MIB_PER_GIB).map(Mebibytes).ok_or_else(invalid);
@@ -54,12 +58,12 @@
     text.parse().map_err(|_| invalid())
 }
 
-/// Milliseconds of a duration, for the fields that end in `_ms`.
+/// Converts a duration to milliseconds, for the fields that end in `_ms`.
 pub fn ms(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// A duration in at most two units, such as `420ms`, `12s`, `3m 20s` or `2d 4h`.
+/// Formats a duration in at most two units, such as `420ms`, `12s`, `3m 20s` or `2d 4h`.
 pub fn format_ms(ms: u64) -> String {
     match ms {
         0..MS_PER_S => format!("{ms}ms"),
@@ -70,12 +74,12 @@
     }
 }
 
-/// Cores of a number of thousandths, such as `1.5`.
+/// Formats millicores as cores, such as `1.5`.
 pub fn format_cores(cpu_milli: u64) -> String {
     format!("{}", cpu_milli as f64 / MILLICORES_PER_CORE)
 }
 
-/// Memory in the largest unit that leaves at most one decimal.
+/// Formats a memory size in MiB, or from 1 GiB on in GiB with at most one decimal.
 pub fn format_memory(memory_mib: u64) -> String {
     if memory_mib < MIB_PER_GIB {
         return format!("{memory_mib}MiB");
@@ -83,7 +87,7 @@
     format!("{:.1}GiB", memory_mib as f64 / MIB_PER_GIB as f64).replace(".0GiB", "GiB")
 }
 
-/// A moment given in milliseconds since 1970, as `2026-12-02 18:53:38` in UTC.
+/// Formats a time in milliseconds since 1970 as UTC, such as `2026-12-02 18:53:38`.
 pub fn format_unix_ms(unix_ms: u64) -> String {
     let (days, second_of_day) = (unix_ms / MS_PER_DAY, unix_ms % MS_PER_DAY / MS_PER_S);
     let (year, month, day) = civil_from_days(days);
@@ -96,9 +100,9 @@
     format!("{}{big} {}{small}", ms / big_ms, ms % big_ms / small_ms)
 }
 
-/// Year, month and day of a number of days since 1970-01-01, in the Gregorian calendar.
+/// Converts a number of days since 1970-01-01 to year, month and day of the Gregorian calendar.
 ///
-/// Counts in years that begin in March, so that the leap day comes last.
+/// The computation uses years that begin in March, so that a leap day is the last day of its year.
 fn civil_from_days(days: u64) -> (u64, u64, u64) {
     const DAYS_TO_1970: u64 = 719_468;
     const DAYS_PER_ERA: u64 = 146_097;
