--- a/lilacpass-cli/src/commands/cell.rs
+++ b/lilacpass-cli/src/commands/cell.rs
@@ -49,8 +49,8 @@
 pub fn render(views: &[(Server, Result<v1::StatusView>)]) -> String {
     let statuses: Vec<&v1::StatusView> =
         views.iter().filter_map(|(_, view)| view.as_ref().ok()).collect();
-    let trouble = status::render_findings(&findings(views));
-    [trouble, instances(&statuses), classes(&statuses)].join("\n\n")
+    let findings_section = status::render_findings(&findings(views));
+    [findings_section, instances(&statuses), classes(&statuses)].join("\n\n")
 }
 
 /// Returns the findings that need an operator, each with the entry instances that report it.
@@ -65,9 +65,10 @@
             Err(err) => found.push(format!("{server} has no answer: {err}")),
         }
     }
-    let with_names =
-        |(finding, names): (String, Vec<&str>)| format!("{finding} [{}]", names.join(" "));
-    found.extend(reported_by.into_iter().map(with_names));
+    let with_instances = |(finding, instance_names): (String, Vec<&str>)| {
+        format!("{finding} [{}]", instance_names.join(" "))
+    };
+    found.extend(reported_by.into_iter().map(with_instances));
     found
 }
 
--- a/lilacpass-cli/src/commands/change.rs
+++ b/lilacpass-cli/src/commands/change.rs
@@ -55,8 +55,9 @@
         if lines.is_empty() {
             lines.push(format!("nothing to change at revision {}", self.base));
         }
-        let left = |op| format!("left in place without --prune: {}", change::describe_op(op));
-        lines.extend(self.left_in_place.iter().map(left));
+        let describe_omitted =
+            |op| format!("left in place without --prune: {}", change::describe_op(op));
+        lines.extend(self.left_in_place.iter().map(describe_omitted));
         lines.join("\n")
     }
 
@@ -86,7 +87,7 @@
         v1::ChangeRequest { ops: plan.ops, reason: args.reason.clone(), dry_run: args.dry_run };
     let response = send(context, plan.base, &request).await?;
     Report::from_response(context.format, response, |response: &v1::ChangeAnswer| {
-        format!("{description}\n{}", outcome(response, args.dry_run))
+        format!("{description}\n{}", describe_outcome(response, args.dry_run))
     })
 }
 
@@ -113,7 +114,7 @@
     };
     let verb = if args.undo { "takes new work again" } else { "takes no new work" };
     Report::from_response(context.format, response, |response: &v1::ChangeAnswer| {
-        format!("worker {} {verb}\n{}", args.worker, outcome(response, args.dry_run))
+        format!("worker {} {verb}\n{}", args.worker, describe_outcome(response, args.dry_run))
     })
 }
 
@@ -176,9 +177,9 @@
 /// appended the change to the log.
 async fn send(context: &mut Context, base: Revision, request: &v1::ChangeRequest) -> Result<Value> {
     let headers = vec![(IF_MATCH, base.to_string())];
-    let sent =
+    let result =
         context.client.post(path::CHANGES, headers, request, RetryPolicy::OnlyIfNotRun).await;
-    sent.inspect_err(|err| {
+    result.inspect_err(|err| {
         if matches!(err, Error::OutcomeUnknown(_)) {
             eprintln!("lilacpass: run `lilacpass changes` to see whether the change was applied");
         }
@@ -191,7 +192,7 @@
     Ok(Revision(status.revision))
 }
 
-fn outcome(response: &v1::ChangeAnswer, dry_run: bool) -> String {
+fn describe_outcome(response: &v1::ChangeAnswer, dry_run: bool) -> String {
     let head = if dry_run {
         "nothing was changed; it would have these effects:".to_owned()
     } else {
--- a/lilacpass-cli/src/commands/files.rs
+++ b/lilacpass-cli/src/commands/files.rs
@@ -57,9 +57,9 @@
         return format!(" {problem}");
     }
     let Problem { line, column, .. } = problem;
-    let without_place = Problem { line: 0, ..problem.clone() };
+    let without_position = Problem { line: 0, ..problem.clone() };
     match column {
-        0 => format!("{line}: {without_place}"),
-        _ => format!("{line}:{column}: {without_place}"),
+        0 => format!("{line}: {without_position}"),
+        _ => format!("{line}:{column}: {without_position}"),
     }
 }
--- a/lilacpass-cli/src/commands/overlay.rs
+++ b/lilacpass-cli/src/commands/overlay.rs
@@ -2,8 +2,8 @@
 
 use lilacpass_schema::v1;
 
-/// Merges `overrides` into `base`: its entries are added, or replace entries of the same name. The rules of `overrides`,
-/// if present, replace those of `base`.
+/// Merges `overrides` into `base`: its entries are added or replace entries of the same name. If `overrides` has rules,
+/// they replace those of `base`.
 pub fn overlay(base: &v1::Configuration, overrides: &v1::Configuration) -> v1::Configuration {
     v1::Configuration {
         data_centres: merge_by_name(&base.data_centres, &overrides.data_centres, |entry| {
--- a/lilacpass-cli/src/commands/status.rs
+++ b/lilacpass-cli/src/commands/status.rs
@@ -25,12 +25,17 @@
 
 /// Formats the status as text with lines of at most 80 characters; the findings that need an operator come first.
 pub fn render(status: &v1::StatusView) -> String {
-    let parts =
-        [trouble(status), summary(status), data_centres(status), members(status), classes(status)];
+    let parts = [
+        findings_section(status),
+        summary(status),
+        data_centres(status),
+        members(status),
+        classes(status),
+    ];
     parts.join("\n\n")
 }
 
-fn trouble(status: &v1::StatusView) -> String {
+fn findings_section(status: &v1::StatusView) -> String {
     render_findings(&findings(status))
 }
 
--- a/lilacpass-cli/tests/failover.rs
+++ b/lilacpass-cli/tests/failover.rs
@@ -1,4 +1,4 @@
-//! Every mix of three servers that answer, refuse, die or are gone, against what must hold.
+//! Checks the failover rules against every combination of three servers that respond, refuse, crash or are down.
 
 mod support;
 
@@ -15,22 +15,26 @@
 use serde_json::json;
 use support::{FakeServer, ReceivedRequest, unused_url};
 
-/// What a server does with a request.
+/// How a server behaves when it receives a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Behaviour {
+    /// Nothing listens on its port.
     Down,
-    /// Takes it and dies before it answers.
+    /// Receives the request and crashes before it responds.
     Crashes,
+    /// Runs the work successfully.
     Succeeds,
-    /// Truthfully says that it did not run what it got.
+    /// Correctly reports that it has not run the work.
     ShuttingDown,
+    /// Refuses the request because the cell is overloaded.
     Overloaded,
+    /// Refuses the request because access is denied.
     Forbidden,
-    /// Took it and does not know what became of it.
+    /// Accepted the request and does not know its outcome.
     Uncertain,
-    /// Ran it, and the work failed.
+    /// Ran the work, which failed.
     Failed,
-    /// A balancer that lost the server behind it.
+    /// A load balancer that lost the connection to its server.
     BadGateway,
 }
 
@@ -59,16 +63,16 @@
         })
     }
 
-    /// Whether a request that arrived may have had an effect.
+    /// Returns whether a request that arrived may have had an effect.
     fn may_execute(self) -> bool {
         matches!(self, Crashes | Succeeds | Uncertain | Failed | BadGateway)
     }
 }
 
-/// A server of each conduct.
+/// One server for each behaviour.
 struct ServerSet {
     servers: Vec<(Behaviour, Option<FakeServer>)>,
-    /// Address of the one that is gone.
+    /// URL used for [`Down`], on which nothing listens.
     down_url: String,
 }
 
@@ -86,7 +90,7 @@
     }
 }
 
-/// One server in one mix.
+/// One server in one combination, with the number of requests it received before.
 struct MixedServer<'a> {
     behaviour: Behaviour,
     url: &'a str,
@@ -105,12 +109,12 @@
     }
 }
 
-/// A caller has a list of servers, any of which may be gone, stopping or about to die. Whatever the
-/// mix, a request that must not be repeated reaches at most one server that may take it; one that
-/// may be repeated carries the same key everywhere; and where the tool says that nothing ran, no
-/// server has taken it.
+/// Guards against repeating a request that must not be repeated, and against reporting "not run" for work that may have
+/// run. For every combination of servers: a request that is not idempotent reaches at most one server that may execute
+/// it, a repeated request carries the same key on each server, and if the tool reports that nothing ran, no server may
+/// have executed the request.
 #[tokio::test]
-async fn no_mix_of_servers_repeats_what_must_not_be_or_denies_what_may_have_run() {
+async fn failover_never_repeats_unsafe_requests_or_denies_work_that_may_have_run() {
     let server_sets = [ServerSet::start(), ServerSet::start(), ServerSet::start()];
     for retry_policy in [RetryPolicy::OnlyIfNotRun, RetryPolicy::Idempotent] {
         for index in 0..ALL.len().pow(3) {
@@ -144,12 +148,12 @@
     let has_run = servers.iter().any(|server| server.has(Succeeds) || server.has(Failed));
     assert_eq!(matches!(exit, Exit::Ok | Exit::Failed), has_run, "{mix:?}");
     assert!(!has_run || no_request_after_execution(servers), "{mix:?}");
-    // A server that would serve it is reached past all that are gone or stopping.
+    // A server that can serve the request is reached if all servers before it are down or shutting down.
     let first = mix.iter().find(|behaviour| !matches!(behaviour, Down | ShuttingDown));
     assert!(first != Some(&Succeeds) || exit == Exit::Ok, "{mix:?}");
 }
 
-/// Whether no server was asked after one that said that the work has run.
+/// Returns whether no server received the request after one that reported that the work has run.
 fn no_request_after_execution(servers: &[MixedServer<'_>; 3]) -> bool {
     let mut after =
         servers.iter().skip_while(|server| !server.has(Succeeds) && !server.has(Failed)).skip(1);
--- a/lilacpass-cli/tests/files.rs
+++ b/lilacpass-cli/tests/files.rs
@@ -1,4 +1,4 @@
-//! Commands that work offline on files.
+//! Tests of the commands that work offline on files.
 
 mod support;
 
@@ -22,7 +22,7 @@
 "#;
 
 #[test]
-fn bad_settings_are_refused_with_line_field_unit_and_range() {
+fn invalid_settings_are_reported_with_line_field_unit_and_range() {
     let run = lilacpass_with(&[], "check -", SETTINGS, &[]);
     assert_eq!((run.code, run.stdout.as_str()), (0, "-: good\n"), "{run:?}");
     let bad = SETTINGS.replace("lease_ms = 3000", "lease_ms = 1");
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_bad_configuration_is_refused_before_any_server_is_asked() {
+fn an_invalid_configuration_is_refused_before_any_request_is_sent() {
     let bad = "[[workers]]\nname = \"w1\"\ndata_centre = \"nowhere\"\n";
     let run = lilacpass_with(&[], "check --inventory -", bad, &[]);
     assert!(run.code == 2 && run.stdout.contains("-:3:"), "{run:?}");
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_new_token_opens_what_its_entry_says() {
+fn a_new_token_matches_its_entry() {
     let run = lilacpass(&[], "token new desk-1 --role team --team desks --expires-in 1d -o json");
     let made = run.json();
     let entry: v1::AccessToken = serde_json::from_value(made["entry"].clone()).unwrap();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn completions_know_the_commands() {
+fn completions_contain_the_commands() {
     let run = lilacpass(&[], "completions bash");
     let commands = ["submit", "wait", "import-csv", "audit", "drain"];
     commands.iter().for_each(|name| assert!(run.stdout.contains(name), "{name}"));
@@ -79,7 +79,7 @@
 ";
 
 #[test]
-fn a_register_becomes_a_configuration_that_passes_the_checks() {
+fn an_imported_register_is_a_valid_configuration() {
     let run = lilacpass_with(&[], "import-csv - --region nl-midden", REGISTER, &[]);
     assert_eq!(run.code, 0, "{run:?}");
     let imported = inventory::parse(&run.stdout).unwrap();
@@ -93,10 +93,10 @@
     assert!(run.code == 2 && run.stderr.contains("-:3: cores"), "{run:?}");
 }
 
-/// A worker is drained for a repair. The nightly import of the register, which knows nothing of
-/// drains, must not put it back to work.
+/// A worker is draining for a repair when the asset register is imported. The register does not contain the draining
+/// state, so the import must keep it; otherwise the worker would accept new work again.
 #[test]
-fn an_import_keeps_drains_and_what_the_register_does_not_name() {
+fn an_import_keeps_draining_workers_and_entries_missing_from_the_register() {
     let mut base = v1::Configuration::default();
     base.teams.push(v1::Team { name: "shops".to_owned(), ..Default::default() });
     let worker = |name: &str, draining| v1::WorkerSpec {
--- a/lilacpass-cli/tests/operations.rs
+++ b/lilacpass-cli/tests/operations.rs
@@ -1,4 +1,4 @@
-//! The page for operators says what the code does.
+//! Checks that the operators' page agrees with the code.
 
 mod support;
 
--- a/lilacpass-cli/tests/operators.rs
+++ b/lilacpass-cli/tests/operators.rs
@@ -1,4 +1,4 @@
-//! What operators do: look at the cell, and change its configuration.
+//! Tests of the commands for operators: inspecting the cell and changing its configuration.
 
 mod support;
 
@@ -23,8 +23,8 @@
     format!("{name}-{}", "x".repeat(110))
 }
 
-/// A cell with every kind of trouble, and with names as long as they may be.
-fn troubled() -> Value {
+/// Status of a cell with every kind of finding and with names of the maximum length.
+fn unhealthy() -> Value {
     let member = |name: &str, state: &str, revision: u64| {
         json!({ "name": name, "data_centre": long("hal"), "state": state, "revision": revision,
                 "silent_ms": 4_000_000_000_u64 })
@@ -54,11 +54,11 @@
 }
 
 #[test]
-fn status_fits_80_columns_and_names_all_trouble_first() {
-    let run = lilacpass(&[&FakeServer::always(200, troubled()).url], "status");
+fn status_fits_80_columns_and_lists_all_findings_first() {
+    let run = lilacpass(&[&FakeServer::always(200, unhealthy()).url], "status");
     let widest = run.stdout.lines().map(|line| line.chars().count()).max();
     assert!(run.code == 0 && widest <= Some(80), "{widest:?}\n{}", run.stdout);
-    let (trouble, rest) = run.stdout.split_once("\n\n").unwrap();
+    let (findings, rest) = run.stdout.split_once("\n\n").unwrap();
     let named = [
         "NEEDS A LOOK",
         "not ready",
@@ -70,7 +70,7 @@
         "1 silent members",
         "1 members behind revision 1042: entry-c1 (at 1041)",
     ];
-    named.iter().for_each(|text| assert!(trouble.contains(text), "{text}\n{trouble}"));
+    named.iter().for_each(|text| assert!(findings.contains(text), "{text}\n{findings}"));
     assert!(rest.find("urgent") < rest.find("batch"), "{rest}");
     assert!(rest.contains("40 held here of 48 in the cell"), "{rest}");
     let run = lilacpass(&[&FakeServer::always(200, healthy()).url], "status");
@@ -78,15 +78,15 @@
 }
 
 #[test]
-fn the_state_of_the_cell_is_put_together_from_all_servers() {
+fn cell_status_combines_the_views_of_all_servers() {
     let (good, bad, lost) =
-        (FakeServer::always(200, healthy()), FakeServer::always(200, troubled()), unused_url());
+        (FakeServer::always(200, healthy()), FakeServer::always(200, unhealthy()), unused_url());
     let servers = [lost.as_str(), &good.url, &bad.url];
     let run = lilacpass(&servers, "status --cell");
     let widest = run.stdout.lines().map(|line| line.chars().count()).max();
     assert!(run.code == 0 && widest <= Some(80), "{widest:?}\n{}", run.stdout);
-    let (trouble, rest) = run.stdout.split_once("\n\n").unwrap();
-    assert!(trouble.contains("has no answer") && trouble.contains("quarantine"), "{trouble}");
+    let (findings, rest) = run.stdout.split_once("\n\n").unwrap();
+    assert!(findings.contains("has no answer") && findings.contains("quarantine"), "{findings}");
     assert!(rest.contains("1s") && rest.contains("5 lease, 1 escrow"), "{rest}");
     let run = lilacpass(&servers, "status --cell --output json");
     assert_eq!(run.json()[0]["problem"]["verdict"], "not_run");
@@ -95,13 +95,13 @@
 }
 
 #[test]
-fn every_answer_is_json_for_scripts() {
+fn every_command_prints_json_and_text_within_80_columns() {
     let id = "0123456789abcdef0123456789abcdef";
     let job = json!({ "job_id": id, "state": "waiting", "team": "shops", "class": "batch" });
     let worker = json!({ "name": "w1", "state": "draining", "tasks": [{ "task": "t" }] });
     let entry = json!({ "actor": "ann", "action": "drain", "subject": "w1", "accepted": true });
     let cases = [
-        ("status", troubled()),
+        ("status", unhealthy()),
         ("jobs", json!({ "jobs": [job] })),
         (&format!("jobs {id}"), job.clone()),
         (&format!("cancel {id}"), job.clone()),
@@ -122,9 +122,9 @@
     }
 }
 
-/// A newer server has a field that this tool does not know, as during an upgrade.
+/// During an upgrade, a newer server sends a field that this tool does not know.
 #[test]
-fn an_answer_of_a_newer_server_gets_through_as_json() {
+fn unknown_fields_of_a_newer_server_are_passed_through_as_json() {
     let server = FakeServer::always(200, json!({ "revision": 3, "of_tomorrow": 1 }));
     let run = lilacpass(&[&server.url], "status --output json");
     assert_eq!((run.code, run.json()["of_tomorrow"].as_u64()), (0, Some(1)));
@@ -134,8 +134,9 @@
     assert!(lilacpass(&[&server.url], "status").stderr.contains("of another version"));
 }
 
-/// A server whose configuration is `BEFORE` at revision 12, after a change by Ben at 12.
-fn cell(change_response: (u16, Value)) -> FakeServer {
+/// Starts a server whose configuration is `BEFORE` at revision 12, which Ben created. It responds to changes with
+/// `change_response`.
+fn cell_server(change_response: (u16, Value)) -> FakeServer {
     let configuration = lilacpass_config::inventory::parse(BEFORE).unwrap();
     let inventory = json!({ "revision": 12, "configuration": configuration });
     let changes = json!({ "changes": [
@@ -150,65 +151,66 @@
     })
 }
 
-fn changes_sent(cell: &FakeServer) -> Vec<support::ReceivedRequest> {
-    cell.received().into_iter().filter(|request| request.method == "POST").collect()
+fn changes_sent(cell_server: &FakeServer) -> Vec<support::ReceivedRequest> {
+    cell_server.received().into_iter().filter(|request| request.method == "POST").collect()
 }
 
 #[test]
-fn apply_sends_only_the_difference_on_top_of_the_revision_in_force() {
-    let cell = cell((200, json!({ "revision": 13, "effects": ["moves 2 tasks"] })));
+fn apply_sends_only_the_difference_to_the_current_revision() {
+    let cell_server = cell_server((200, json!({ "revision": 13, "effects": ["moves 2 tasks"] })));
     let file = BEFORE.replace("markets", "desks");
-    let run = lilacpass_with(&[&cell.url], "apply - --reason new --dry-run", &file, &[]);
+    let run = lilacpass_with(&[&cell_server.url], "apply - --reason new --dry-run", &file, &[]);
     assert_eq!(run.code, 0, "{run:?}");
     let texts = ["left in place without --prune", "nothing was changed", "moves 2 tasks"];
     texts.iter().for_each(|text| assert!(run.stdout.contains(text), "{text}: {run:?}"));
-    let sent = changes_sent(&cell).remove(0);
+    let sent = changes_sent(&cell_server).remove(0);
     assert_eq!(sent.header("if-match"), Some("12"));
     assert_eq!((&sent.body["dry_run"], &sent.body["reason"]), (&json!(true), &json!("new")));
     let ops = sent.body["ops"].as_array().unwrap();
     assert_eq!(ops.len(), 1, "{ops:?}");
     assert_eq!(ops[0]["op"]["upsert_team"]["name"], "desks");
-    let run = lilacpass_with(&[&cell.url], "apply - --prune", &file, &[]);
+    let run = lilacpass_with(&[&cell_server.url], "apply - --prune", &file, &[]);
     assert!(run.code == 0 && run.stdout.contains("in force with revision 13"), "{run:?}");
-    assert_eq!(changes_sent(&cell)[1].body["ops"].as_array().map(Vec::len), Some(2));
-    // Rules that the file does not give stay as they are, unless it is to say everything.
+    assert_eq!(changes_sent(&cell_server)[1].body["ops"].as_array().map(Vec::len), Some(2));
+    // Rules that the file does not contain are left unchanged.
     let rules = BEFORE.replace("[[data", "[rules]\nmax_attempts = 5\n\n[[data");
-    let run = lilacpass_with(&[&cell.url], "diff - --output json", &rules, &[]);
+    let run = lilacpass_with(&[&cell_server.url], "diff - --output json", &rules, &[]);
     assert_eq!(run.json()["ops"][0]["op"]["set_rules"]["max_attempts"], 5, "{run:?}");
-    let run = lilacpass_with(&[&cell.url], "diff - --output json", BEFORE, &[]);
-    assert_eq!((run.json()["ops"].clone(), changes_sent(&cell).len()), (json!([]), 2));
+    let run = lilacpass_with(&[&cell_server.url], "diff - --output json", BEFORE, &[]);
+    assert_eq!((run.json()["ops"].clone(), changes_sent(&cell_server).len()), (json!([]), 2));
 }
 
 #[test]
-fn a_lost_race_shows_who_won() {
+fn a_conflict_shows_the_winning_change() {
     let winner = json!({ "revision": 13, "actor": "ben", "detail": "drained hal-a-w1" });
     let conflict = json!({ "title": "conflict", "status": 412, "verdict": "not_run",
                            "winner": winner });
-    let cell = cell((412, conflict));
-    let run = lilacpass_with(&[&cell.url], "apply - --prune", "", &[]);
+    let cell_server = cell_server((412, conflict));
+    let run = lilacpass_with(&[&cell_server.url], "apply - --prune", "", &[]);
     assert_eq!(run.code, 6, "{run:?}");
     assert!(run.stderr.contains("revision 13 by ben won: drained hal-a-w1"), "{run:?}");
 }
 
-/// Ann exports the configuration and edits it over lunch. Meanwhile Ben raises a quota. Ann applies
-/// her file, in which the quota is still the old one: Ben's change would be gone without a word.
+/// Guards against a lost update: Ann exports the configuration and edits it while Ben raises a quota. Her file still
+/// contains the old quota, so applying it would silently revert Ben's change.
 #[test]
-fn a_file_from_before_somebody_elses_change_is_refused() {
-    let cell = cell((200, json!({ "revision": 13 })));
-    let exported = lilacpass(&[&cell.url], "inventory").stdout;
+fn a_file_exported_before_another_change_is_refused() {
+    let cell_server = cell_server((200, json!({ "revision": 13 })));
+    let exported = lilacpass(&[&cell_server.url], "inventory").stdout;
     let edited = exported.replace("markets", "desks");
-    assert_eq!(lilacpass_with(&[&cell.url], "apply -", &edited, &[]).code, 0);
+    assert_eq!(lilacpass_with(&[&cell_server.url], "apply -", &edited, &[]).code, 0);
     let stale = edited.replace("revision 12", "revision 10");
-    let run = lilacpass_with(&[&cell.url], "apply -", &stale, &[]);
-    assert_eq!((run.code, changes_sent(&cell).len()), (6, 1), "{run:?}");
+    let run = lilacpass_with(&[&cell_server.url], "apply -", &stale, &[]);
+    assert_eq!((run.code, changes_sent(&cell_server).len()), (6, 1), "{run:?}");
     assert!(run.stderr.contains("revision 12 by ben won: quota of markets"), "{run:?}");
 }
 
-/// The answer to a change is lost after it was appended. Sent again to another server with the same
-/// base it would come back as a conflict, lost to itself.
+/// The response to a change is lost after the change was appended. If the tool sent it to another server with the same
+/// base, the change would be refused as a conflict with itself.
 #[test]
-fn a_change_in_doubt_goes_to_no_second_server() {
-    let (first, second) = (cell((200, json!({}))), cell((200, json!({ "revision": 13 }))));
+fn a_change_with_unknown_outcome_is_not_sent_to_a_second_server() {
+    let (first, second) =
+        (cell_server((200, json!({}))), cell_server((200, json!({ "revision": 13 }))));
     let other_url = first.url.clone();
     let closing = FakeServer::start(move |request, _| match request.method.as_str() {
         "POST" => Reply::Close,
@@ -219,7 +221,7 @@
 }
 
 #[test]
-fn a_drain_that_loses_the_race_goes_on_top_of_the_winner() {
+fn a_drain_is_repeated_on_the_new_revision_after_a_conflict() {
     let server = FakeServer::start(|request, before| match (request.method.as_str(), before) {
         ("POST", 1) => Reply::Json(412, json!({ "status": 412, "verdict": "not_run" })),
         ("POST", _) => Reply::Json(200, json!({ "revision": 15 })),
@@ -233,7 +235,7 @@
 }
 
 #[test]
-fn audit_filters_choose_entries() {
+fn audit_filters_select_entries() {
     let entry = |actor: &str, action: &str, accepted: bool, at_unix_ms: u64| v1::AuditEntry {
         actor: actor.to_owned(),
         action: action.to_owned(),
@@ -259,7 +261,7 @@
 }
 
 #[test]
-fn the_token_travels_in_its_header_and_nowhere_else() {
+fn the_token_is_sent_in_its_header_and_never_printed() {
     let server = FakeServer::always(403, json!({ "title": "no access", "verdict": "not_run" }));
     let env = [("LILACPASS_TOKEN", "lilac_ann_secret")];
     let run = lilacpass_with(&[&server.url, &unused_url()], "status", "", &env);
--- a/lilacpass-cli/tests/support/mod.rs
+++ b/lilacpass-cli/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A tiny HTTP server on loopback that answers as a test says, and a way to run the tool.
+//! A minimal HTTP server on the loopback interface with scripted responses, and functions that run the tool.
 
 #![allow(dead_code)]
 
@@ -14,50 +14,52 @@
 use serde_json::Value;
 use tokio::net::TcpSocket;
 
-/// A request as the server got it.
+/// A request as the server received it.
 #[derive(Clone, Debug)]
 pub(crate) struct ReceivedRequest {
     pub(crate) method: String,
     pub(crate) path: String,
-    /// Lines of the head, in lower case up to the colon.
+    /// Header names in lower case, with their values.
     pub(crate) headers: Vec<(String, String)>,
     pub(crate) body: Value,
 }
 
 impl ReceivedRequest {
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
+        self.headers.iter().find(|(key, _)| key == name).map(|(_, value)| value.as_str())
     }
 }
 
-/// What the server does with a request.
+/// How the server reacts to a request.
 pub(crate) enum Reply {
+    /// Responds with a status code and a JSON body.
     Json(u16, Value),
-    /// Closes the connection without an answer, as a process that dies does.
+    /// Closes the connection without a response, as if the process had crashed.
     Close,
 }
 
-/// A server that lives as long as the test process.
+/// A server that runs until the test process ends.
 pub(crate) struct FakeServer {
     pub(crate) url: String,
     received: Arc<Mutex<Vec<ReceivedRequest>>>,
 }
 
 impl FakeServer {
-    /// Answers each request with what `answer` says of it and of the number of those before.
+    /// Starts a server that reacts to each request with the result of `reply_to`, which gets the request and the number
+    /// of earlier requests.
     pub(crate) fn start(
-        answer: impl Fn(&ReceivedRequest, usize) -> Reply + Send + 'static,
+        reply_to: impl Fn(&ReceivedRequest, usize) -> Reply + Send + 'static,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let url = format!("http://{}", listener.local_addr().unwrap());
         let received = Arc::new(Mutex::new(Vec::new()));
-        let log = Arc::clone(&received);
+        let request_log = Arc::clone(&received);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let Some(request) = read_request(&stream) else { continue };
-                let before = log.lock().unwrap().len();
-                log.lock().unwrap().push(request.clone());
-                if let Reply::Json(status, body) = answer(&request, before) {
+                let earlier = request_log.lock().unwrap().len();
+                request_log.lock().unwrap().push(request.clone());
+                if let Reply::Json(status, body) = reply_to(&request, earlier) {
                     write_response(&stream, status, &body);
                 }
             }
@@ -65,12 +67,12 @@
         Self { url, received }
     }
 
-    /// Gives the same answer to all.
+    /// Starts a server that gives the same response to every request.
     pub(crate) fn always(status: u16, body: Value) -> Self {
         Self::start(move |_, _| Reply::Json(status, body.clone()))
     }
 
-    /// Takes each request and closes the connection.
+    /// Starts a server that receives each request and closes the connection without a response.
     pub(crate) fn closing() -> Self {
         Self::start(|_, _| Reply::Close)
     }
@@ -80,8 +82,8 @@
     }
 }
 
-/// The URL of a port where nobody listens, and which no other test is given in the meantime: it
-/// stays bound until the process ends.
+/// Returns the URL of a port on which nothing listens. The port stays bound until the process ends, so that it is not
+/// assigned to another test in the meantime.
 pub(crate) fn unused_url() -> String {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
@@ -90,7 +92,7 @@
     url
 }
 
-/// What a run of the tool left behind.
+/// Exit code and output of a run of the tool.
 #[derive(Debug)]
 pub(crate) struct ToolOutput {
     pub(crate) code: i32,
@@ -104,12 +106,12 @@
     }
 }
 
-/// Runs the tool with the arguments given, separated by spaces, against `servers`.
+/// Runs the tool against `servers` with the given arguments, which are separated by whitespace.
 pub(crate) fn lilacpass(servers: &[&str], args: &str) -> ToolOutput {
     lilacpass_with(servers, args, "", &[])
 }
 
-/// The same with a text on standard input and with variables of the environment.
+/// Like [`lilacpass`], but with a text on standard input and additional environment variables.
 pub(crate) fn lilacpass_with(
     servers: &[&str],
     args: &str,
@@ -124,7 +126,7 @@
     command.env("COLUMNS", "80").envs(env.iter().copied());
     command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
     let mut child = command.spawn().unwrap();
-    // A command that fails early closes its standard input before all is written.
+    // Writing fails if the command exits before it has read all of its standard input.
     let _ = child.stdin.take().unwrap().write_all(stdin.as_bytes());
     let output = child.wait_with_output().unwrap();
     ToolOutput {
@@ -145,8 +147,8 @@
             line => lines.push(line.to_owned()),
         }
     }
-    let mut first = lines.first()?.split(' ');
-    let (method, path) = (first.next()?.to_owned(), first.next()?.to_owned());
+    let mut request_line = lines.first()?.split(' ');
+    let (method, path) = (request_line.next()?.to_owned(), request_line.next()?.to_owned());
     let headers: Vec<(String, String)> = lines[1..]
         .iter()
         .filter_map(|line| line.split_once(": "))
@@ -164,10 +166,10 @@
 }
 
 fn write_response(mut stream: &TcpStream, status: u16, body: &Value) {
-    let kind = if status < 400 { "application/json" } else { "application/problem+json" };
+    let content_type = if status < 400 { "application/json" } else { "application/problem+json" };
     let body = body.to_string();
     let head = format!(
-        "HTTP/1.1 {status} X\r\ncontent-type: {kind}\r\ncontent-length: {}\r\nconnection: close\r\n",
+        "HTTP/1.1 {status} X\r\ncontent-type: {content_type}\r\ncontent-length: {}\r\nconnection: close\r\n",
         body.len()
     );
     let _ = stream.write_all(format!("{head}\r\n{body}").as_bytes());
--- a/lilacpass-cli/tests/units.rs
+++ b/lilacpass-cli/tests/units.rs
@@ -1,11 +1,11 @@
-//! Sizes and durations as people write and read them.
+//! Tests of parsing and formatting sizes, durations and times.
 
 use std::time::Duration;
 
 use lilacpass_cli::units;
 
 #[test]
-fn sizes_and_times_need_their_unit() {
+fn sizes_and_durations_require_a_unit() {
     assert_eq!(units::parse_duration("250ms"), Ok(Duration::from_millis(250)));
     assert_eq!(units::parse_duration("15m"), Ok(Duration::from_secs(900)));
     assert_eq!(units::parse_duration("30d"), Ok(Duration::from_secs(2_592_000)));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn times_are_shown_in_at_most_two_units() {
+fn durations_are_formatted_in_at_most_two_units() {
     let cases = [(0, "0ms"), (999, "999ms"), (1_000, "1s"), (200_000, "3m 20s")];
     cases.iter().for_each(|(ms, text)| assert_eq!(units::format_ms(*ms), *text));
     assert_eq!(units::format_ms(187_200_000), "2d 4h");
@@ -30,9 +30,9 @@
     assert_eq!(units::format_unix_ms(1_796_237_618_000), "2026-12-02 18:53:38");
 }
 
-/// Counts the calendar forward day by day, with the rule of leap years written out.
+/// Compares the formatted dates with a calendar that is advanced day by day using the leap year rule.
 #[test]
-fn dates_follow_the_calendar_for_two_hundred_years() {
+fn dates_match_the_calendar_for_two_hundred_years() {
     let multiple = |year: u64, of: u64| year.is_multiple_of(of);
     let leap = |year| multiple(year, 4) && (!multiple(year, 100) || multiple(year, 400));
     let (mut year, mut month, mut day) = (1970, 1, 1);
--- a/lilacpass-cli/tests/verdicts.rs
+++ b/lilacpass-cli/tests/verdicts.rs
@@ -1,4 +1,4 @@
-//! Exit codes per verdict, and which calls go on to another server.
+//! Tests of the exit code per verdict and of which requests are sent to another server.
 
 mod support;
 
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_end_of_a_job_has_its_exit_code() {
+fn each_final_job_state_has_its_exit_code() {
     let cases = [
         ("succeeded", "ran", 0),
         ("failed", "ran", 5),
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn an_error_is_a_problem_document_for_scripts() {
+fn errors_are_printed_as_problem_documents_with_json_output() {
     let server = FakeServer::always(503, problem(503, "not_run"));
     let run = lilacpass(&[&server.url], &format!("{QUICK} --output json"));
     assert_eq!(run.json()["verdict"], "not_run");
@@ -74,9 +74,8 @@
     assert_eq!((run.json()["verdict"].as_str(), run.code), (Some("may_have_run"), 4));
 }
 
-/// A volunteer submits a crawl audit. The entry instance takes it and dies before it answers. The
-/// tool asks the next one. With another key the audit would run twice, and the shopkeeper would
-/// get the report twice.
+/// Guards against running a job twice: the entry instance accepts a submission and crashes before it responds. The tool
+/// sends the submission to the next one, where another key would create a second job.
 #[test]
 fn a_repeated_submission_keeps_its_key() {
     let (first, second) =
@@ -91,11 +90,11 @@
     assert_eq!((run.code, second.received()[1].header("idempotency-key")), (0, Some("audit-7")));
 }
 
-/// An alert is sent as a quick request that must not run twice. The entry instance forwards it and
-/// dies. Asked again, another entry would send the alert a second time, and two brokers chase one
-/// reel.
+/// Guards against running a quick request twice that is not idempotent: the entry instance forwards the request and
+/// crashes. If the tool repeated it on another entry instance, the work, such as sending an alert, could run a second
+/// time.
 #[test]
-fn a_quick_request_in_doubt_goes_to_no_second_server_unless_idempotent() {
+fn a_quick_request_with_unknown_outcome_is_repeated_only_if_idempotent() {
     let (first, second) = (FakeServer::closing(), FakeServer::always(200, quick_response()));
     let servers = [first.url.as_str(), &second.url];
     assert_eq!(lilacpass(&servers, QUICK).code, 4);
@@ -105,25 +104,25 @@
 }
 
 #[test]
-fn a_request_that_was_not_run_goes_on_to_the_next_server() {
+fn a_request_that_was_not_run_is_sent_to_the_next_server() {
     let good = FakeServer::always(200, quick_response());
     let stopping = FakeServer::always(503, problem(503, "not_run"));
     assert_eq!(lilacpass(&[&unused_url(), &good.url], QUICK).code, 0);
     assert_eq!(lilacpass(&[&stopping.url, &good.url], QUICK).code, 0);
-    // Work that ran and failed is not run again, whatever the status says.
+    // Work that ran and failed is not run again, even if the status alone would allow trying the next server.
     let failed = FakeServer::always(502, problem(502, "ran"));
     let run = lilacpass(&[&failed.url, &good.url], &format!("{QUICK} --idempotent"));
     assert_eq!(run.code, 5, "{run:?}");
-    // A refusal that any server would repeat is final.
+    // A refusal that every server would give is final.
     let refusing = FakeServer::always(403, problem(403, "not_run"));
     assert_eq!(lilacpass(&[&refusing.url, &good.url], QUICK).code, 3);
     assert_eq!(good.received().len(), 2);
 }
 
-/// The first entry takes a job and dies before it answers; the second is stopping, and truthfully
-/// says that it has not run what it got. The caller must not read this as "not run".
+/// The first entry instance accepts a job and crashes before it responds; the second one is shutting down and correctly
+/// reports that it has not run the job. The tool must not report this as "not run", because the first one may run it.
 #[test]
-fn not_run_from_one_server_does_not_settle_the_doubt_about_another() {
+fn not_run_from_one_server_proves_nothing_about_an_earlier_one() {
     let (first, second) = (FakeServer::closing(), FakeServer::always(503, problem(503, "not_run")));
     assert_eq!(lilacpass(&[&first.url, &second.url], JOB).code, 4);
     assert_eq!(lilacpass(&[&first.url, &unused_url()], JOB).code, 4);
@@ -131,7 +130,7 @@
 }
 
 #[test]
-fn the_deadline_of_a_person_covers_all_servers() {
+fn the_deadline_covers_all_servers() {
     let server = FakeServer::always(200, quick_response());
     let run = lilacpass(&[&unused_url(), &server.url], &format!("{QUICK} --deadline 20s"));
     assert_eq!(run.code, 0);
@@ -139,15 +138,15 @@
     assert!((1..=20_000).contains(&left));
 }
 
-/// An operator follows a sweep over night. The entry instance is replaced while it holds the call,
-/// and its successor has not read the log far enough to know the job. Both pass by themselves.
+/// The entry instance is replaced while it holds the request of a waiting tool, and the next one has not yet read the
+/// log far enough to know the job. Both errors are transient, so the tool must keep waiting.
 #[test]
-fn waiting_survives_a_lost_entry() {
-    let first = FakeServer::start(|_, before| match before {
+fn waiting_survives_the_loss_of_an_entry_instance() {
+    let first = FakeServer::start(|_, earlier| match earlier {
         0 => Reply::Json(200, job("running", "")),
         _ => Reply::Close,
     });
-    let second = FakeServer::start(|_, before| match before {
+    let second = FakeServer::start(|_, earlier| match earlier {
         0 => Reply::Json(404, problem(404, "not_run")),
         _ => Reply::Json(200, job("succeeded", "ran")),
     });
@@ -155,13 +154,13 @@
     assert_eq!(run.code, 0, "{run:?}");
     assert!(run.stderr.contains("running"), "{run:?}");
     assert!(first.received()[0].path.contains("wait_ms="));
-    // A job that no server ever knew is not waited for.
+    // The tool does not wait for a job that no server has ever returned.
     let unknown = FakeServer::always(404, problem(404, "not_run"));
     assert_eq!(lilacpass(&[&unknown.url], &format!("wait {ID}")).code, 3);
 }
 
 #[test]
-fn the_limit_of_a_wait_ends_it_without_a_claim_on_the_outcome() {
+fn reaching_the_time_limit_of_a_wait_counts_as_may_have_run() {
     let server = FakeServer::always(200, job("running", ""));
     let run = lilacpass(&[&server.url], &format!("wait {ID} --for 10ms --quiet"));
     assert_eq!((run.code, run.stderr.as_str()), (4, ""));
