--- a/lilacpass-cli/src/args.rs
+++ b/lilacpass-cli/src/args.rs
@@ -21,7 +21,7 @@
 };
 pub use submit::{ClassArg, SubmitArgs};
 
-/// Submits work to a lilacpass cell, and runs the cell.
+/// Submits work to a lilacpass cell and operates the cell
 #[derive(Debug, Parser)]
 #[command(name = "lilacpass", version, after_long_help = help::EXAMPLES, after_help = help::EXIT_CODES)]
 pub struct Cli {
--- a/lilacpass-cli/src/args/submit.rs
+++ b/lilacpass-cli/src/args/submit.rs
@@ -43,7 +43,7 @@
     /// Service that runs the work
     #[arg(long)]
     pub service: String,
-    /// Kind of work; sizes and run times are estimated per kind
+    /// Kind of work; sizes and run times are learned per kind
     #[arg(long, default_value = "")]
     pub kind: String,
     /// Job class; by default urgent for quick requests, standing with --standing, batch for other jobs
--- a/lilacpass-cli/src/commands/submit.rs
+++ b/lilacpass-cli/src/commands/submit.rs
@@ -79,7 +79,7 @@
     if jobs::has_ended(job) { Exit::from_job(job) } else { Exit::Ok }
 }
 
-/// Explains how to resolve a submission whose outcome is unknown: submitting again with the same key is safe.
+/// Prints how to resolve a submission whose outcome is unknown: submitting again with the same key gives the same job.
 fn suggest_same_key(err: &Error, key: &str) {
     if err.exit() == Exit::MayHaveRun {
         eprintln!(
--- a/lilacpass-cli/src/commands/wait.rs
+++ b/lilacpass-cli/src/commands/wait.rs
@@ -20,7 +20,7 @@
 const MAX_HOLD: Duration = Duration::from_secs(10);
 /// Time that the response may take beyond that before the request times out.
 const RESPONSE_MARGIN: Duration = Duration::from_secs(5);
-/// Interval of progress messages while the state of the job does not change.
+/// Interval of progress messages while the state of the job and its reason do not change.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(60);
 /// Pause after all servers failed, or after a server responded sooner than asked to.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
--- a/lilacpass-cli/src/units.rs
+++ b/lilacpass-cli/src/units.rs
@@ -11,8 +11,8 @@
 const MS_PER_H: u64 = 60 * MS_PER_MIN;
 const MS_PER_DAY: u64 = 24 * MS_PER_H;
 
-/// Units of a duration with their length in milliseconds. "ms" must come before "m" and "s": the units are tried as
-/// suffixes in this order, and "s" is a suffix of "ms".
+/// Units of a duration with their length in milliseconds. The first one that is a suffix of the text is used, so "ms"
+/// must come before "s".
 const DURATION_UNITS: [(&str, u64); 5] =
     [("ms", 1), ("d", MS_PER_DAY), ("h", MS_PER_H), ("m", MS_PER_MIN), ("s", MS_PER_S)];
 
--- a/lilacpass-cli/tests/operators.rs
+++ b/lilacpass-cli/tests/operators.rs
@@ -172,7 +172,7 @@
     let run = lilacpass_with(&[&cell_server.url], "apply - --prune", &file, &[]);
     assert!(run.code == 0 && run.stdout.contains("in force with revision 13"), "{run:?}");
     assert_eq!(changes_sent(&cell_server)[1].body["ops"].as_array().map(Vec::len), Some(2));
-    // Rules that the file does not contain are left unchanged.
+    // Rules that the file does not contain are left unchanged, unless `--prune` is set.
     let rules = BEFORE.replace("[[data", "[rules]\nmax_attempts = 5\n\n[[data");
     let run = lilacpass_with(&[&cell_server.url], "diff - --output json", &rules, &[]);
     assert_eq!(run.json()["ops"][0]["op"]["set_rules"]["max_attempts"], 5, "{run:?}");
