--- a/lilacpass-config/src/change/effects.rs
+++ b/lilacpass-config/src/change/effects.rs
@@ -34,7 +34,7 @@
     /// The team.
     pub team: TeamId,
     /// What its tasks are given in all.
-    pub given: Resources,
+    pub allocated: Resources,
 }
 
 /// The effects of going from `old` to `new` while `load` runs, one line each: tasks that would
@@ -66,7 +66,7 @@
     fn of(old: &'a v1::Configuration, load: &'a Load) -> Self {
         Self {
             tasks: load.workers.iter().map(|w| (w.worker.as_str(), w.tasks)).collect(),
-            given: load.teams.iter().map(|t| (t.team.as_str(), &t.given)).collect(),
+            given: load.teams.iter().map(|t| (t.team.as_str(), &t.allocated)).collect(),
             workers: old.workers.iter().map(|w| (w.name.as_str(), w)).collect(),
             teams: old.teams.iter().map(|t| (t.name.as_str(), t)).collect(),
             standing: old.standing.iter().map(|s| (s.name.as_str(), s)).collect(),
--- a/lilacpass-config/src/fold.rs
+++ b/lilacpass-config/src/fold.rs
@@ -133,7 +133,7 @@
     ///
     /// Guards against a stale base that looks current: a member that missed an accepted change
     /// would else accept a change that everybody else refused, and differ from then on.
-    pub fn truncated(&mut self, first_kept: Offset) {
+    pub fn handle_truncation(&mut self, first_kept: Offset) {
         if first_kept > self.position {
             self.lost_before = self.lost_before.max(Some(first_kept));
         }
--- a/lilacpass-config/tests/change.rs
+++ b/lilacpass-config/tests/change.rs
@@ -197,7 +197,7 @@
         workers: vec![WorkerLoad { worker: WorkerId::new("w0"), tasks: 3 }],
         teams: vec![TeamLoad {
             team: TeamId::new("shops"),
-            given: Resources::new(3_000, 12_288, 0, 0),
+            allocated: Resources::new(3_000, 12_288, 0, 0),
         }],
     };
     let told = |spoil: fn(&mut v1::Configuration)| {
--- a/lilacpass-config/tests/fold.rs
+++ b/lilacpass-config/tests/fold.rs
@@ -151,7 +151,7 @@
     assert!(peer.was_accepted(Offset(1)));
     assert_eq!(ConfigFold::new().covers(), None);
     assert_eq!(member.covers(), Some(Offset(3)));
-    member.truncated(Offset(9));
+    member.handle_truncation(Offset(9));
     assert_eq!(member.covers(), None);
 }
 
@@ -174,7 +174,7 @@
     assert!(new.restore(&snapshot));
     assert_eq!(new.fold(Offset(2), &record), ChangeOutcome::Duplicate);
     assert_eq!((new.revision(), new.position()), (Revision(3), Offset(3)));
-    new.truncated(Offset(9));
+    new.handle_truncation(Offset(9));
     assert!(!new.restore(&snapshot), "it does not close the gap");
 }
 
@@ -190,7 +190,7 @@
     reader.fold(Offset(2), &stale);
 
     let mut paused = started();
-    paused.truncated(Offset(2));
+    paused.handle_truncation(Offset(2));
     assert!(paused.has_gap());
     assert_eq!(paused.fold(Offset(2), &stale), ChangeOutcome::Undecided);
     assert_eq!((paused.revision(), paused.position()), (Revision(1), Offset(1)));
--- a/lilacpass-config/tests/fold_fuzz.rs
+++ b/lilacpass-config/tests/fold_fuzz.rs
@@ -131,7 +131,7 @@
 
     /// A member reads records from `again` before its position on.
     fn read(&self, member: &mut ConfigFold, again: usize, records: usize) {
-        member.truncated(Offset(self.first_kept as u64));
+        member.handle_truncation(Offset(self.first_kept as u64));
         let start = (member.position().0 as usize).saturating_sub(again).max(self.first_kept);
         for (i, record) in self.log.iter().enumerate().skip(start).take(records) {
             let offset = Offset(i as u64);
--- a/lilacpass-control/src/change.rs
+++ b/lilacpass-control/src/change.rs
@@ -144,7 +144,7 @@
             running.into_iter().map(|(worker, tasks)| WorkerLoad { worker, tasks }).collect();
         let usage = self.jobs.team_usage().iter();
         let teams =
-            usage.map(|(team, given)| TeamLoad { team: team.clone(), given: *given }).collect();
+            usage.map(|(team, given)| TeamLoad { team: team.clone(), allocated: *given }).collect();
         change::effects(self.config.configuration(), next, &Load { workers, teams })
     }
 
--- a/lilacpass-control/src/streams.rs
+++ b/lilacpass-control/src/streams.rs
@@ -88,7 +88,7 @@
             counters::bump(&self.counters.history_lost);
             log::warn!(stream:? = stream, from:% = lost.from, to:% = lost.to; "records were gone before they were read");
             if stream == Stream::Config {
-                self.config.truncated(lost.to);
+                self.config.handle_truncation(lost.to);
             }
         }
         if outcome.restored {
