--- a/lilacpass-config/src/access.rs
+++ b/lilacpass-config/src/access.rs
@@ -1,7 +1,7 @@
-//! Who may do what: bearer tokens, of which only salted hashes are kept, and the key of peers.
+//! Access control: bearer tokens for clients, stored only as salted hashes, and the shared key of peers.
 //!
-//! A token is `lilac_<name>_<secret>`: its name tells which one hash must be tried, so that a
-//! presented token costs one slow hash however many tokens there are.
+//! A token has the form `lilac_<name>_<secret>`. The name selects the hash to verify against, so verifying a
+//! presented token takes one slow hash no matter how many tokens are configured.
 
 use std::{fmt, str::FromStr};
 
@@ -15,49 +15,53 @@
 
 pub use cache::TokenCache;
 
-/// What every token starts with; secret scanners know a leaked one by it.
+/// Prefix of every token, by which secret scanners recognise a leaked token.
 const TOKEN_PREFIX: &str = "lilac_";
-/// Longest token that is looked at, in bytes.
+/// Maximum length of a presented token in bytes; longer ones are rejected without hashing.
 const MAX_TOKEN_LEN: usize = 256;
-/// Random bytes of a token, of which it shows two hexadecimal digits each.
+/// Number of random bytes in a token's secret, each of which is written as two hexadecimal digits.
 const SECRET_LEN: usize = 32;
-/// Greatest cost of a hash that is accepted: a dear one would let anyone who presents a wrong
-/// token use up the processor and memory of an entry instance.
-const MAX_MEMORY_KIB: u32 = 65_536;
-const MAX_PASSES: u32 = 10;
-const MAX_LANES: u32 = 4;
+/// Maximum memory cost of an accepted hash, in KiB.
+///
+/// The cost parameters of configured hashes are limited because anyone can trigger a verification by presenting a
+/// wrong token: an expensive hash would exhaust the CPU and memory of an entry instance.
+const MAX_HASH_MEMORY_KIB: u32 = 65_536;
+/// Maximum number of passes (Argon2 `t`) of an accepted hash.
+const MAX_HASH_PASSES: u32 = 10;
+/// Maximum degree of parallelism (Argon2 `p`) of an accepted hash.
+const MAX_HASH_LANES: u32 = 4;
 
 quick_error! {
-    /// Why a presented token gives no access.
+    /// Reason why a presented token is rejected.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum AccessError {
-        /// No token of the configuration is the one presented.
+        /// The presented token matches none of the configured tokens.
         Unknown {
             display("the token is not known")
         }
-        /// The token is known and its time is over.
+        /// The token is configured, but its expiry time has passed.
         Expired {
             display("the token has expired")
         }
     }
 }
 
-/// What the bearer of a token may do.
+/// Role of a token, which determines what its bearer may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Role {
-    /// Everything.
+    /// May perform every operation.
     Operator,
-    /// Submits, sees and cancels the work of one team.
+    /// May submit, view and cancel the work of one team.
     Team,
-    /// Sees everything and changes nothing.
+    /// May view everything, but change nothing.
     ReadOnly,
 }
 
 impl Role {
-    /// All roles.
+    /// All roles, in the order in which error messages list them.
     pub const ALL: [Self; 3] = [Self::Operator, Self::Team, Self::ReadOnly];
 
-    /// The name in the configuration.
+    /// Returns the name of the role as written in the configuration.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Operator => "operator",
@@ -81,22 +85,23 @@
     }
 }
 
-/// The key that entry instances and the platform show each other. It is never printed.
+/// Shared key with which entry instances and the platform authenticate to each other. `Debug` does not reveal it.
 #[derive(Clone)]
 pub struct PeerKey(String);
 
 impl PeerKey {
-    /// Wraps a key.
+    /// Wraps the plain text of a key.
     pub fn new(key: &str) -> Self {
         Self(key.to_owned())
     }
 
-    /// The key itself, to be sent to a peer.
+    /// Returns the plain text of the key, to be sent to a peer.
     pub fn expose(&self) -> &str {
         &self.0
     }
 
-    /// Whether a peer presented this key. The time taken tells nothing but the length.
+    /// Returns whether a peer presented this key. The comparison takes constant time for keys of equal length, so
+    /// its duration reveals nothing but the length.
     pub fn matches(&self, presented: &[u8]) -> bool {
         self.0.as_bytes().ct_eq(presented).into()
     }
@@ -108,8 +113,10 @@
     }
 }
 
-/// A new token named `name`, and what the configuration keeps of it. The token itself is shown
-/// once and kept nowhere; role, team and expiry are the caller's to set.
+/// Generates a token named `name` and returns it together with its configuration entry.
+///
+/// The plain token is stored nowhere, so the caller must show it to the user. The caller also sets the role, team
+/// and expiry of the entry.
 pub fn new_token(name: &str) -> (String, v1::AccessToken) {
     let secret: [u8; SECRET_LEN] = rand::random();
     let digits: String = secret.iter().map(|byte| format!("{byte:02x}")).collect();
@@ -118,18 +125,18 @@
     (token, v1::AccessToken { name: name.to_owned(), hash, ..v1::AccessToken::default() })
 }
 
-/// The salted hash of a token, in PHC string form.
+/// Returns the salted Argon2id hash of a token as a PHC string.
 pub fn hash_token(token: &str) -> String {
     Argon2::default()
         .hash_password(token.as_bytes())
-        .expect("argon2 takes any token with its default cost and a salt of the system's")
+        .expect("argon2 accepts any token with default parameters and a salt from the system's RNG")
         .to_string()
 }
 
-/// The token among `tokens` that `presented` is, unless it has expired at `now_unix_s`, in
-/// seconds since 1970.
+/// Finds the entry of `tokens` that `presented` belongs to and checks that it has not expired at `now_unix_s`
+/// (Unix time in seconds).
 ///
-/// This takes tens of milliseconds for a token whose name is known; see [`TokenCache`].
+/// Verifying a token whose name is configured takes tens of milliseconds; use [`TokenCache`] to avoid repeating it.
 pub fn verify<'a>(
     tokens: &'a [v1::AccessToken],
     presented: &str,
@@ -141,18 +148,15 @@
     Argon2::default()
         .verify_password(presented.as_bytes(), &hash)
         .map_err(|_| AccessError::Unknown)?;
-    unless_expired(token, now_unix_s)
+    check_expiry(token, now_unix_s)
 }
 
-/// Whether a text is a hash as [`hash_token`] makes it, of bearable cost.
+/// Returns whether `text` is a hash of the form that [`hash_token`] generates, with acceptable cost parameters.
 pub(crate) fn is_token_hash(text: &str) -> bool {
     parse_hash(text).is_some()
 }
 
-fn unless_expired(
-    token: &v1::AccessToken,
-    now_unix_s: u64,
-) -> Result<&v1::AccessToken, AccessError> {
+fn check_expiry(token: &v1::AccessToken, now_unix_s: u64) -> Result<&v1::AccessToken, AccessError> {
     match token.expires_unix_s {
         0 => Ok(token),
         expires_unix_s if now_unix_s < expires_unix_s => Ok(token),
@@ -160,7 +164,7 @@
     }
 }
 
-/// The name in a token of the form `lilac_<name>_<secret>`. A name may hold `_`, a secret may not.
+/// Extracts the name from a token of the form `lilac_<name>_<secret>`. The name may contain `_`, the secret may not.
 fn token_name(presented: &str) -> Option<&str> {
     if presented.len() > MAX_TOKEN_LEN {
         return None;
@@ -172,10 +176,10 @@
 fn parse_hash(text: &str) -> Option<PasswordHash> {
     let hash = PasswordHash::new(text).ok()?;
     let params = argon2::Params::try_from(&hash).ok()?;
-    let bearable = params.m_cost() <= MAX_MEMORY_KIB
-        && params.t_cost() <= MAX_PASSES
-        && params.p_cost() <= MAX_LANES;
+    let affordable = params.m_cost() <= MAX_HASH_MEMORY_KIB
+        && params.t_cost() <= MAX_HASH_PASSES
+        && params.p_cost() <= MAX_HASH_LANES;
     let complete =
         hash.algorithm.as_str() == "argon2id" && hash.salt.is_some() && hash.hash.is_some();
-    (bearable && complete).then_some(hash)
+    (affordable && complete).then_some(hash)
 }
--- a/lilacpass-config/src/access/cache.rs
+++ b/lilacpass-config/src/access/cache.rs
@@ -1,4 +1,4 @@
-//! Remembers which presented tokens were found good, since the hash is slow on purpose.
+//! A cache of successfully verified tokens, since verifying a hash is slow by design.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -7,24 +7,24 @@
 
 use super::AccessError;
 
-/// Keyed digest of a presented token; the token itself is not kept.
+/// Keyed digest of a presented token. The cache does not store the token itself.
 type Digest = [u8; blake3::OUT_LEN];
 
-/// Tokens that were found good under one revision of the configuration.
+/// Tokens that were successfully verified against one revision of the configuration.
 ///
-/// Only good ones are kept, so that a flood of wrong tokens throws none of them out. The digest's
-/// key is drawn anew in each process.
+/// Rejected tokens are not cached, so a flood of wrong tokens cannot evict valid ones. The key of the digests is
+/// generated randomly in each process.
 pub struct TokenCache {
     key: [u8; blake3::KEY_LEN],
     capacity: usize,
     revision: Revision,
     names: HashMap<Digest, String>,
-    /// Digests from the oldest to the newest.
+    /// Cached digests in the order of insertion, the oldest first.
     order: VecDeque<Digest>,
 }
 
 impl TokenCache {
-    /// A cache of at most `capacity` tokens.
+    /// Creates a cache for at most `capacity` tokens; a capacity of 0 counts as 1.
     pub fn new(capacity: usize) -> Self {
         Self {
             key: rand::random(),
@@ -35,8 +35,8 @@
         }
     }
 
-    /// As [`super::verify`] for the tokens of configuration `revision`; slow only for a token that
-    /// is not remembered.
+    /// Verifies a token like [`super::verify`], where `tokens` belong to configuration `revision`. Only a token that
+    /// is not cached needs the slow hash.
     pub fn verify<'a>(
         &mut self,
         revision: Revision,
@@ -52,7 +52,7 @@
         Ok(token)
     }
 
-    /// What is remembered of a token; `None` where the slow hash must be tried.
+    /// Returns the cached result for a token, or `None` if it must be verified with the slow hash.
     pub fn lookup<'a>(
         &self,
         revision: Revision,
@@ -65,10 +65,12 @@
         }
         let name = self.names.get(&self.digest(presented))?;
         let token = tokens.iter().find(|t| t.name == *name)?;
-        Some(super::unless_expired(token, now_unix_s))
+        Some(super::check_expiry(token, now_unix_s))
     }
 
-    /// Remembers that `presented` is the token `name` of configuration `revision`.
+    /// Records that `presented` was verified as the token `name` of configuration `revision`.
+    ///
+    /// A newer revision than the cached one clears the cache; an older one is ignored.
     pub fn remember(&mut self, revision: Revision, presented: &str, name: &str) {
         if revision < self.revision {
             return;
@@ -89,12 +91,12 @@
         }
     }
 
-    /// Number of tokens that are remembered.
+    /// Returns the number of cached tokens.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether none is remembered.
+    /// Returns whether the cache holds no tokens.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
--- a/lilacpass-config/src/change.rs
+++ b/lilacpass-config/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes of a configuration: all steps of a change take effect, or none.
+//! Changes to a configuration. A change is atomic: either all of its steps take effect, or none of them does.
 
 use std::mem;
 
@@ -17,13 +17,14 @@
 pub use diff::diff;
 pub use effects::{Load, TeamLoad, WorkerLoad, effects};
 
-/// Most steps in one change.
+/// Maximum number of steps in one change.
 pub const MAX_OPS: usize = 10_000;
 
-/// The configuration after `ops`, or what is wrong with them.
+/// Returns the configuration that results from applying `ops`, or the problems that they cause.
 ///
-/// Only what the steps touch is checked, and what refers to it: `configuration` must have passed
-/// [`crate::inventory::check`]. A step may refer to what a later step adds; only the end counts.
+/// Only entries that the steps modify, and entries that refer to those, are checked, so `configuration` must already
+/// have passed [`crate::inventory::check`]. Only the final state is checked: a step may refer to an entry that a
+/// later step adds.
 pub fn apply(
     configuration: &v1::Configuration,
     ops: &[v1::ConfigOp],
@@ -33,8 +34,9 @@
     Ok(changed)
 }
 
-/// As [`apply`], in place: for one who reads many changes of a large configuration, since a copy
-/// costs far more than a step. Where the change is refused, `configuration` is as it was.
+/// Like [`apply`], but modifies the configuration in place. If the change is rejected, `configuration` is restored.
+///
+/// Use this to replay many changes of a large configuration, where copying costs far more than applying a step.
 pub fn apply_to(
     configuration: &mut v1::Configuration,
     ops: &[v1::ConfigOp],
@@ -46,30 +48,32 @@
     }
     let mut draft = Draft::new(configuration);
     let mut problems: Vec<_> =
-        ops.iter().enumerate().filter_map(|(index, op)| draft.step(index, op)).collect();
+        ops.iter().enumerate().filter_map(|(index, op)| draft.apply(index, op)).collect();
     if problems.is_empty() {
         let findings = check::findings(draft.configuration, &draft.scope);
         problems.extend(findings.into_iter().map(|finding| finding.problem));
     }
     if !problems.is_empty() {
-        draft.undo();
+        draft.roll_back();
     }
-    problem::unless(problems, ())
+    problem::ok_if_none(problems, ())
 }
 
-/// Takes one step back.
+/// Reverts one step.
 type Undo = Box<dyn FnOnce(&mut v1::Configuration)>;
-/// A section of a configuration.
+/// Selects a section of a configuration.
 type Section<T> = fn(&mut v1::Configuration) -> &mut Vec<T>;
-/// The name of an entry.
-type Name<T> = fn(&T) -> &str;
-/// Nothing has the name that a step refers to.
-struct Missing(String);
+/// Returns the name of an entry.
+type NameOf<T> = fn(&T) -> &str;
+/// Error of a step that refers to an entry by a name that does not exist.
+struct UnknownName(String);
 
-/// A configuration under change, with what must be checked again and the way back.
+/// A configuration that is being changed.
 struct Draft<'a> {
     configuration: &'a mut v1::Configuration,
+    /// Entries that must be checked once all steps have been applied.
     scope: Scope,
+    /// Actions that revert the applied steps, in the order of the steps.
     undo: Vec<Undo>,
 }
 
@@ -78,23 +82,27 @@
         Self { configuration, scope: Scope::default(), undo: Vec::new() }
     }
 
-    fn undo(mut self) {
-        while let Some(step_back) = self.undo.pop() {
-            step_back(self.configuration);
+    /// Reverts all applied steps, the last one first.
+    fn roll_back(mut self) {
+        while let Some(undo) = self.undo.pop() {
+            undo(self.configuration);
         }
     }
 
-    fn step(&mut self, index: usize, op: &v1::ConfigOp) -> Option<Problem> {
+    /// Applies step number `index` of a change. Returns a problem if the step is malformed or refers to an unknown
+    /// name.
+    fn apply(&mut self, index: usize, op: &v1::ConfigOp) -> Option<Problem> {
         let field = || format!("ops[{index}]");
         let Some(op) = &op.op else {
             return Some(Problem::new(field(), "is empty or of an unknown kind"));
         };
-        let Missing(name) = self.take(op).err()?;
+        let UnknownName(name) = self.apply_op(op).err()?;
         let problem = Problem::new(field(), "names nothing that is there");
         Some(problem.with_value(format_args!("{name:?}")))
     }
 
-    fn take(&mut self, op: &Op) -> Result<(), Missing> {
+    /// Applies one step and adds to the scope every entry whose validity may depend on it.
+    fn apply_op(&mut self, op: &Op) -> Result<(), UnknownName> {
         match op {
             Op::Replace(whole) => self.replace(whole),
             Op::UpsertWorker(worker) => self.upsert_worker(worker),
@@ -115,7 +123,7 @@
                 self.remove(|c| &mut c.teams, |t| &t.name, name)?;
             }
             Op::UpsertService(service) => {
-                // Standing work without a size of its own takes that of its service.
+                // Standing work that declares no task size uses the default size of its service.
                 self.scope.standing = Entries::All;
                 self.scope.services.add(&service.name);
                 self.upsert(|c| &mut c.services, |s| &s.name, service);
@@ -162,7 +170,7 @@
     fn upsert_worker(&mut self, worker: &v1::WorkerSpec) {
         self.scope.workers.add(&worker.name);
         let workers = &self.configuration.workers;
-        // Nothing is asked to fit into a cell without workers, so its first one shows what doesn't.
+        // Sizes are not checked against a cell without workers, so the first worker requires checking all of them.
         let first = workers.is_empty();
         let size = check::capacity(worker);
         let old = workers.iter().find(|old| old.name == worker.name).map(check::capacity);
@@ -172,17 +180,17 @@
         self.upsert(|c| &mut c.workers, |w| &w.name, worker);
     }
 
-    fn drain_worker(&mut self, drain: &v1::DrainWorker) -> Result<(), Missing> {
+    fn drain_worker(&mut self, drain: &v1::DrainWorker) -> Result<(), UnknownName> {
         let workers = &mut self.configuration.workers;
         let index = position(workers, |w| &w.name, &drain.worker)
-            .ok_or_else(|| Missing(drain.worker.clone()))?;
+            .ok_or_else(|| UnknownName(drain.worker.clone()))?;
         let old = mem::replace(&mut workers[index].draining, drain.draining);
         self.undo.push(Box::new(move |c| c.workers[index].draining = old));
         Ok(())
     }
 
-    /// Puts an entry in the place of the one with its name, or at the end.
-    fn upsert<T: Clone + 'static>(&mut self, section: Section<T>, name: Name<T>, entry: &T) {
+    /// Replaces the entry with the same name, or appends the entry if there is none.
+    fn upsert<T: Clone + 'static>(&mut self, section: Section<T>, name: NameOf<T>, entry: &T) {
         let entries = section(self.configuration);
         match position(entries, name, name(entry)) {
             Some(index) => {
@@ -196,20 +204,23 @@
         }
     }
 
+    /// Removes the entry named `wanted`.
     fn remove<T: 'static>(
         &mut self,
         section: Section<T>,
-        name: Name<T>,
+        name: NameOf<T>,
         wanted: &str,
-    ) -> Result<(), Missing> {
+    ) -> Result<(), UnknownName> {
         let entries = section(self.configuration);
-        let index = position(entries, name, wanted).ok_or_else(|| Missing(wanted.to_owned()))?;
+        let index =
+            position(entries, name, wanted).ok_or_else(|| UnknownName(wanted.to_owned()))?;
         let old = entries.remove(index);
         self.undo.push(Box::new(move |c| section(c).insert(index, old)));
         Ok(())
     }
 }
 
-fn position<T>(entries: &[T], name: Name<T>, wanted: &str) -> Option<usize> {
+/// Returns the index of the entry named `wanted`.
+fn position<T>(entries: &[T], name: NameOf<T>, wanted: &str) -> Option<usize> {
     entries.iter().position(|entry| name(entry) == wanted)
 }
--- a/lilacpass-config/src/change/describe.rs
+++ b/lilacpass-config/src/change/describe.rs
@@ -1,14 +1,14 @@
-//! A step of a change in one line, for people and the audit trail.
+//! One-line descriptions of the steps of a change, for operators and the audit trail.
 
 use lilacpass_schema::v1::{self, config_op::Op};
 
 use crate::check;
 
-/// What a step does, in one line. Hashes of tokens are not shown.
+/// Describes in one line what a step does. Hashes of tokens are left out.
 pub fn describe_op(op: &v1::ConfigOp) -> String {
     let Some(op) = &op.op else { return "nothing".to_owned() };
     match op {
-        Op::Replace(whole) => describe_replace(whole),
+        Op::Replace(configuration) => describe_replace(configuration),
         Op::UpsertWorker(worker) => format!(
             "set worker {} in {} rack {} at {} with {}",
             worker.name,
@@ -37,13 +37,13 @@
     }
 }
 
-fn describe_replace(whole: &v1::Configuration) -> String {
+fn describe_replace(configuration: &v1::Configuration) -> String {
     format!(
         "replace everything: {} data centres, {} workers, {} services, {} teams, {} standing work",
-        whole.data_centres.len(),
-        whole.workers.len(),
-        whole.services.len(),
-        whole.teams.len(),
-        whole.standing.len()
+        configuration.data_centres.len(),
+        configuration.workers.len(),
+        configuration.services.len(),
+        configuration.teams.len(),
+        configuration.standing.len()
     )
 }
--- a/lilacpass-config/src/change/diff.rs
+++ b/lilacpass-config/src/change/diff.rs
@@ -1,4 +1,4 @@
-//! The steps that lead from one configuration to another.
+//! Computes the steps that transform one configuration into another.
 
 use std::collections::HashMap;
 
@@ -6,8 +6,10 @@
 
 use super::MAX_OPS;
 
-/// The steps that make `new` out of `old`; [`super::apply`] gives the same entries, though maybe
-/// in another order. A first configuration, and one that differs in very much, is one step.
+/// Returns the steps that transform `old` into `new`.
+///
+/// Applying them with [`super::apply`] yields the same entries as `new`, but possibly in a different order. If `old`
+/// is empty or more than [`MAX_OPS`] steps would be needed, the result is a single step that replaces everything.
 pub fn diff(old: &v1::Configuration, new: &v1::Configuration) -> Vec<v1::ConfigOp> {
     if old == new {
         return Vec::new();
@@ -19,6 +21,7 @@
     ops.into_iter().map(|op| v1::ConfigOp { op: Some(op) }).collect()
 }
 
+/// Returns the steps for all sections of the configuration.
 fn sections(old: &v1::Configuration, new: &v1::Configuration) -> Vec<Op> {
     let mut ops = Vec::new();
     section(
@@ -68,7 +71,7 @@
     ops
 }
 
-/// The steps for one section: what is new or other, then what is gone.
+/// Appends the steps for one section: first those for added and modified entries, then those for removed entries.
 fn section<T: PartialEq>(
     ops: &mut Vec<Op>,
     old: &[T],
@@ -81,12 +84,14 @@
     let after: HashMap<&String, &T> = new.iter().map(|entry| (name(entry), entry)).collect();
     let changed = new.iter().filter(|entry| before.get(name(entry)) != Some(entry));
     ops.extend(changed.map(|entry| upsert(before.get(name(entry)).copied(), entry)));
-    let gone = old.iter().filter(|entry| !after.contains_key(name(entry)));
-    ops.extend(gone.map(|entry| remove(name(entry).clone())));
+    let removed = old.iter().filter(|entry| !after.contains_key(name(entry)));
+    ops.extend(removed.map(|entry| remove(name(entry).clone())));
 }
 
-/// A worker that differs in nothing but its drain is drained, so that racing changes of its
-/// sizes are not undone by an operator who only means the drain.
+/// Returns the step for an added or modified worker.
+///
+/// If only the `draining` flag differs, the step sets just this flag. An upsert would also write the sizes of the
+/// worker and thereby undo a concurrent change to them, though the operator only meant to drain it.
 fn worker_op(old: Option<&v1::WorkerSpec>, new: &v1::WorkerSpec) -> Op {
     let only_drain =
         old.is_some_and(|old| v1::WorkerSpec { draining: new.draining, ..old.clone() } == *new);
--- a/lilacpass-config/src/change/effects.rs
+++ b/lilacpass-config/src/change/effects.rs
@@ -1,4 +1,4 @@
-//! What a change would do to work that runs, told before it is made.
+//! Predicts how a change would affect running work, so that operators can review the effects before applying it.
 
 use std::collections::HashMap;
 
@@ -10,63 +10,65 @@
 
 use crate::check::{self, Cell};
 
-/// What runs now, as far as the caller knows.
+/// The work that is currently running, as far as the caller knows.
 #[derive(Clone, Debug, Default)]
 pub struct Load {
-    /// Workers with tasks.
+    /// Workers that run tasks.
     pub workers: Vec<WorkerLoad>,
-    /// Teams with tasks.
+    /// Teams that have running tasks.
     pub teams: Vec<TeamLoad>,
 }
 
-/// What runs on a worker.
+/// The load of one worker.
 #[derive(Clone, Debug)]
 pub struct WorkerLoad {
-    /// The worker.
+    /// Name of the worker.
     pub worker: WorkerId,
-    /// Number of tasks on it.
+    /// Number of tasks that run on the worker.
     pub tasks: u64,
 }
 
-/// What a team has.
+/// The resources that one team uses.
 #[derive(Clone, Debug)]
 pub struct TeamLoad {
-    /// The team.
+    /// Name of the team.
     pub team: TeamId,
-    /// What its tasks are given in all.
+    /// Total resources allocated to the team's tasks.
     pub allocated: Resources,
 }
 
-/// The effects of going from `old` to `new` while `load` runs, one line each: tasks that would
-/// move or stop, quotas that would bind.
+/// Describes the effects of changing the configuration from `old` to `new` under the current `load`, one line each:
+/// for example, tasks that would move or stop and quotas that would become limiting.
 pub fn effects(old: &v1::Configuration, new: &v1::Configuration, load: &Load) -> Vec<String> {
-    let before = Before::of(old, load);
+    let current = CurrentState::new(old, load);
     let steps = match super::diff(old, new).as_slice() {
         [v1::ConfigOp { op: Some(Op::Replace(_)) }] => Vec::new(),
         steps => steps.to_vec(),
     };
     let steps = steps.iter().filter_map(|step| step.op.as_ref());
-    let mut lines: Vec<String> = steps.filter_map(|step| before.effect(step)).collect();
+    let mut lines: Vec<String> = steps.filter_map(|step| current.effect(step)).collect();
     lines.extend(size_change(old, new));
-    lines.extend(promised_too_much(new));
+    lines.extend(overcommitted_quotas(new));
     lines
 }
 
-/// The old configuration and the load by name.
-struct Before<'a> {
+/// The old configuration and the current load, indexed by name.
+struct CurrentState<'a> {
+    /// Number of running tasks by worker.
     tasks: HashMap<&'a str, u64>,
-    given: HashMap<&'a str, &'a Resources>,
+    /// Allocated resources by team.
+    allocated: HashMap<&'a str, &'a Resources>,
     workers: HashMap<&'a str, &'a v1::WorkerSpec>,
     teams: HashMap<&'a str, &'a v1::Team>,
     standing: HashMap<&'a str, &'a v1::StandingWork>,
     rules: v1::Rules,
 }
 
-impl<'a> Before<'a> {
-    fn of(old: &'a v1::Configuration, load: &'a Load) -> Self {
+impl<'a> CurrentState<'a> {
+    fn new(old: &'a v1::Configuration, load: &'a Load) -> Self {
         Self {
             tasks: load.workers.iter().map(|w| (w.worker.as_str(), w.tasks)).collect(),
-            given: load.teams.iter().map(|t| (t.team.as_str(), &t.allocated)).collect(),
+            allocated: load.teams.iter().map(|t| (t.team.as_str(), &t.allocated)).collect(),
             workers: old.workers.iter().map(|w| (w.name.as_str(), w)).collect(),
             teams: old.teams.iter().map(|t| (t.name.as_str(), t)).collect(),
             standing: old.standing.iter().map(|s| (s.name.as_str(), s)).collect(),
@@ -74,6 +76,7 @@
         }
     }
 
+    /// Describes the effect of one step, or returns `None` if it does not affect running work.
     fn effect(&self, step: &Op) -> Option<String> {
         match step {
             Op::UpsertWorker(worker) => self.worker_effect(worker),
@@ -144,10 +147,14 @@
     fn team_effect(&self, new: &v1::Team) -> Option<String> {
         let old = self.teams.get(new.name.as_str())?;
         let (from, to) = (quota(old), quota(new));
-        let given = self.given.get(new.name.as_str()).copied().copied().unwrap_or_default();
-        if !given.fits(&to) {
-            let then = if new.may_borrow { "the rest is borrowed" } else { "its new work waits" };
-            return Some(format!("team {} has {given}, its quota binds at {to}: {then}", new.name));
+        let allocated = self.allocated.get(new.name.as_str()).copied().copied().unwrap_or_default();
+        if !allocated.fits(&to) {
+            let consequence =
+                if new.may_borrow { "the rest is borrowed" } else { "its new work waits" };
+            return Some(format!(
+                "team {} has {allocated}, its quota binds at {to}: {consequence}",
+                new.name
+            ));
         }
         (from != to).then(|| format!("team {} has quota {to} in place of {from}", new.name))
     }
@@ -156,41 +163,50 @@
         let old = &self.rules;
         let parts = [
             (old.accounts != new.accounts).then(|| "order of accounts".to_owned()),
-            shown(
+            changed_value(
                 "urgent_reserve_permille",
                 old.urgent_reserve_permille,
                 new.urgent_reserve_permille,
             ),
-            shown("batch_aging_s", old.batch_aging_s, new.batch_aging_s),
-            shown("preempt_non_idempotent", old.preempt_non_idempotent, new.preempt_non_idempotent),
-            shown(
+            changed_value("batch_aging_s", old.batch_aging_s, new.batch_aging_s),
+            changed_value(
+                "preempt_non_idempotent",
+                old.preempt_non_idempotent,
+                new.preempt_non_idempotent,
+            ),
+            changed_value(
                 "quarantine_cap_permille",
                 old.quarantine_cap_permille,
                 new.quarantine_cap_permille,
             ),
-            shown("max_attempts", old.max_attempts, new.max_attempts),
+            changed_value("max_attempts", old.max_attempts, new.max_attempts),
         ];
         format!("rules change: {}", parts.into_iter().flatten().collect::<Vec<_>>().join(", "))
     }
 }
 
-fn shown<T: PartialEq + std::fmt::Display>(name: &str, old: T, new: T) -> Option<String> {
+/// Describes the change of one rule, or returns `None` if its value stays the same.
+fn changed_value<T: PartialEq + std::fmt::Display>(name: &str, old: T, new: T) -> Option<String> {
     (old != new).then(|| format!("{name} from {old} to {new}"))
 }
 
+/// Returns the quota of a team; zero if none is configured.
 fn quota(team: &v1::Team) -> Resources {
     team.quota.as_ref().map(check::amount).unwrap_or_default()
 }
 
+/// Describes how the number of workers and the total capacity of the cell change, if the total changes.
 fn size_change(old: &v1::Configuration, new: &v1::Configuration) -> Option<String> {
-    let (from, to) = (Cell::of(&old.workers).total(), Cell::of(&new.workers).total());
+    let (from, to) = (Cell::new(&old.workers).total(), Cell::new(&new.workers).total());
     let (before, after) = (old.workers.len(), new.workers.len());
     (from != to).then(|| format!("the cell has {after} workers, {to} in place of {before}, {from}"))
 }
 
-/// Each quota fits the cell, or the change is refused; all together may still promise more.
-fn promised_too_much(new: &v1::Configuration) -> Option<String> {
-    let total = Cell::of(&new.workers).total();
+/// Describes by how much the quotas overcommit the cell, if they do.
+///
+/// A change is rejected if a single quota exceeds the cell's capacity, but the sum of all quotas may exceed it.
+fn overcommitted_quotas(new: &v1::Configuration) -> Option<String> {
+    let total = Cell::new(&new.workers).total();
     let promised = new.teams.iter().map(quota).fold(Resources::ZERO, |sum, q| sum.plus(&q));
     (!promised.fits(&total))
         .then(|| format!("quotas promise {promised}, which is more than the cell has ({total})"))
--- a/lilacpass-config/src/check.rs
+++ b/lilacpass-config/src/check.rs
@@ -1,7 +1,7 @@
-//! Checks of a configuration: all of it, or only what a change touched.
+//! Validation of a configuration, either of all entries or only of those that a change affects.
 //!
-//! The verdict is a function of the configuration alone, so that every member that folds the same
-//! log accepts and refuses the same changes.
+//! The result depends on nothing but the configuration, so all members that fold the same log accept and reject the
+//! same changes.
 
 use std::collections::BTreeSet;
 
@@ -15,36 +15,36 @@
 
 pub(crate) use fit::{Cell, amount, capacity};
 
-/// What is wrong with a configuration.
+/// Checks a whole configuration and returns all problems.
 pub fn check(configuration: &v1::Configuration) -> Vec<Problem> {
     findings(configuration, &Scope::all()).into_iter().map(|finding| finding.problem).collect()
 }
 
-/// A problem together with the place of its entry in the configuration.
+/// A problem together with the position of its value in the configuration.
 pub(crate) struct Finding {
-    /// Path by position, such as `workers[3].address`, which finds the place in a text.
+    /// Path with the index of the entry, such as `workers[3].address`, by which the value is located in a text.
     pub(crate) path: String,
-    /// The problem, whose field names the entry.
+    /// The problem. Its field identifies the entry by name instead of by index.
     pub(crate) problem: Problem,
 }
 
-/// Which entries of one section are checked.
+/// Selects the entries of one section that are checked.
 pub(crate) enum Entries {
-    /// All of them.
+    /// All entries of the section.
     All,
-    /// Those with these names.
+    /// Only the entries with these names.
     Named(BTreeSet<String>),
 }
 
 impl Entries {
-    /// Adds one entry.
+    /// Adds the entry with this name.
     pub(crate) fn add(&mut self, name: &str) {
         if let Self::Named(names) = self {
             names.insert(name.to_owned());
         }
     }
 
-    fn has(&self, name: &str) -> bool {
+    fn contains(&self, name: &str) -> bool {
         match self {
             Self::All => true,
             Self::Named(names) => names.contains(name),
@@ -62,7 +62,7 @@
     }
 }
 
-/// What is checked; everything else is known to be right.
+/// Selects the entries that are checked. All others are known to be valid.
 #[derive(Default)]
 pub(crate) struct Scope {
     pub(crate) data_centres: Entries,
@@ -75,7 +75,7 @@
 }
 
 impl Scope {
-    /// Everything.
+    /// Selects every entry and the rules.
     pub(crate) fn all() -> Self {
         Self {
             data_centres: Entries::All,
@@ -88,7 +88,8 @@
         }
     }
 
-    /// The cell has less than before, or its first worker: what was promised may not fit.
+    /// Adds all entries whose sizes must fit into the cell. Called if the cell's capacity shrinks or if it gets its
+    /// first worker, since such entries may no longer fit.
     pub(crate) fn capacity_changed(&mut self) {
         self.services = Entries::All;
         self.standing = Entries::All;
@@ -96,12 +97,12 @@
     }
 }
 
-/// Checks what is in `scope`.
+/// Checks the entries that `scope` selects.
 pub(crate) fn findings(configuration: &v1::Configuration, scope: &Scope) -> Vec<Finding> {
     let needs_cell =
         [&scope.services, &scope.standing, &scope.teams].iter().any(|entries| !entries.is_empty());
-    let cell = needs_cell.then(|| Cell::of(&configuration.workers));
-    let names = entries::Names::of(configuration);
+    let cell = needs_cell.then(|| Cell::new(&configuration.workers));
+    let names = entries::Names::new(configuration);
     let mut checker = entries::Checker { names, cell, findings: Vec::new() };
     checker.data_centres(&configuration.data_centres, &scope.data_centres);
     checker.workers(&configuration.workers, &scope.workers);
--- a/lilacpass-config/src/check/entries.rs
+++ b/lilacpass-config/src/check/entries.rs
@@ -1,4 +1,4 @@
-//! Checks of the entries of each section.
+//! Checks the entries of each section.
 
 use std::collections::{HashMap, HashSet};
 
@@ -8,7 +8,7 @@
 use super::{Cell, Entries, Finding, fit, form};
 use crate::{access::Role, problem::Problem};
 
-/// Names that other entries may refer to.
+/// Names that entries of other sections may refer to.
 pub(super) struct Names<'a> {
     data_centres: HashSet<&'a str>,
     services: HashMap<&'a str, &'a v1::ServiceSpec>,
@@ -16,7 +16,7 @@
 }
 
 impl<'a> Names<'a> {
-    pub(super) fn of(configuration: &'a v1::Configuration) -> Self {
+    pub(super) fn new(configuration: &'a v1::Configuration) -> Self {
         Self {
             data_centres: configuration.data_centres.iter().map(|d| d.name.as_str()).collect(),
             services: configuration.services.iter().map(|s| (s.name.as_str(), s)).collect(),
@@ -25,19 +25,20 @@
     }
 }
 
-/// Gathers what is wrong.
+/// Checks entries and collects the problems found.
 pub(super) struct Checker<'a> {
     pub(super) names: Names<'a>,
-    /// Present where something is checked that must fit into the cell.
+    /// Capacity of the cell; present only if entries are checked whose sizes must fit into it.
     pub(super) cell: Option<Cell>,
     pub(super) findings: Vec<Finding>,
 }
 
-/// One entry of a section, to which problems are attached.
+/// Identifies the entry of a section to which a problem belongs.
 #[derive(Clone, Copy)]
 struct Entry<'a> {
     section: &'static str,
     index: usize,
+    /// Name of the entry; empty for entries that have none and are identified by their index.
     name: &'a str,
 }
 
@@ -60,7 +61,7 @@
             let first = *addresses.entry(&worker.address).or_insert(entry.index);
             self.shared_address(entry, worker, &entries[first]);
         }
-        for other in entries.iter().filter(|worker| !scope.has(&worker.name)) {
+        for other in entries.iter().filter(|worker| !scope.contains(&worker.name)) {
             if let Some(&index) = addresses.get(other.address.as_str()) {
                 let worker = &entries[index];
                 let entry = Entry { section: "workers", index, name: &worker.name };
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Two workers behind one address: starts for one would run on the other, so that what
-    /// is given to each no longer bounds what runs there.
+    /// Reports two workers with the same address. Tasks started for one would run on the other, so that the resources
+    /// allocated on each worker would no longer limit what runs on the machine.
     fn shared_address(
         &mut self,
         entry: Entry<'_>,
@@ -90,22 +91,22 @@
         }
         self.report(entry, form::name("rack", &worker.rack));
         let known = self.names.data_centres.contains(worker.data_centre.as_str());
-        self.known(entry, "data_centre", &worker.data_centre, known);
-        self.report(entry, form::CPU.refuse(worker.cpu_milli));
-        self.report(entry, form::MEMORY.refuse(worker.memory_mib));
-        self.report(entry, form::ACCELERATORS.refuse(worker.accelerators));
-        self.report(entry, form::SLOTS.refuse(worker.slots));
-        self.report(entry, form::CONNECTIONS.refuse(worker.connections));
+        self.reference(entry, "data_centre", &worker.data_centre, known);
+        self.report(entry, form::CPU.check(worker.cpu_milli));
+        self.report(entry, form::MEMORY.check(worker.memory_mib));
+        self.report(entry, form::ACCELERATORS.check(worker.accelerators));
+        self.report(entry, form::SLOTS.check(worker.slots));
+        self.report(entry, form::CONNECTIONS.check(worker.connections));
     }
 
     pub(super) fn services(&mut self, entries: &[v1::ServiceSpec], scope: &Entries) {
         for entry in self.section("services", entries, scope, |s| &s.name) {
             let service = &entries[entry.index];
             let each = service.default_each.unwrap_or_default();
-            if self.size(entry, "default_each", &each) {
-                self.fits(entry, "default_each", 1, &fit::amount(&each));
+            if self.check_size(entry, "default_each", &each) {
+                self.check_fit(entry, "default_each", 1, &fit::amount(&each));
             }
-            self.report(entry, form::DEADLINE.refuse(service.default_deadline_ms));
+            self.report(entry, form::DEADLINE.check(service.default_deadline_ms));
             let mut kinds = HashSet::new();
             for kind in &service.non_idempotent_kinds {
                 self.report(entry, form::name("non_idempotent_kinds", kind));
@@ -121,7 +122,7 @@
         let total = self.cell.as_ref().map(Cell::total).unwrap_or_default();
         for entry in self.section("teams", entries, scope, |t| &t.name) {
             let team = &entries[entry.index];
-            self.report(entry, form::RATE_LIMIT.refuse(team.rate_limit_per_s));
+            self.report(entry, form::RATE_LIMIT.check(team.rate_limit_per_s));
             let quota = team.quota.as_ref().map(fit::amount).unwrap_or_default();
             if !quota.fits(&total) {
                 let message = format!("is more than the whole cell has ({total})");
@@ -142,9 +143,9 @@
 
     fn standing_spec(&mut self, entry: Entry<'_>, spec: &v1::JobSpec) {
         let team_known = self.names.teams.contains(spec.team.as_str());
-        self.known(entry, "spec.team", &spec.team, team_known);
+        self.reference(entry, "spec.team", &spec.team, team_known);
         let service = self.names.services.get(spec.service.as_str()).copied();
-        self.known(entry, "spec.service", &spec.service, service.is_some());
+        self.reference(entry, "spec.service", &spec.service, service.is_some());
         self.report(entry, form::optional_name("spec.account", &spec.account));
         self.report(entry, form::name("spec.kind", &spec.kind));
         self.class(entry, &spec.class);
@@ -154,15 +155,15 @@
         }
         if !spec.data_centre.is_empty() {
             let known = self.names.data_centres.contains(spec.data_centre.as_str());
-            self.known(entry, "spec.data_centre", &spec.data_centre, known);
+            self.reference(entry, "spec.data_centre", &spec.data_centre, known);
         }
         self.report(entry, form::payload(&spec.payload));
-        self.report(entry, form::RUN.refuse(spec.run_ms).map(in_spec));
-        self.report(entry, form::TASKS.refuse(u64::from(spec.tasks)).map(in_spec));
-        let declared = spec.each.is_none_or(|each| self.size(entry, "spec.each", &each));
+        self.report(entry, form::RUN.check(spec.run_ms).map(in_spec));
+        self.report(entry, form::TASKS.check(u64::from(spec.tasks)).map(in_spec));
+        let declared = spec.each.is_none_or(|each| self.check_size(entry, "spec.each", &each));
         let each = spec.each.or(service.and_then(|s| s.default_each));
         if let Some(each) = each.filter(|_| declared) {
-            self.fits(entry, "spec.each", u64::from(spec.tasks), &fit::amount(&each));
+            self.check_fit(entry, "spec.each", u64::from(spec.tasks), &fit::amount(&each));
         }
     }
 
@@ -179,11 +180,11 @@
         for entry in self.section("tokens", entries, scope, |t| &t.name) {
             let token = &entries[entry.index];
             self.report(entry, form::token_hash(&token.hash));
-            self.report(entry, form::EXPIRY.refuse(token.expires_unix_s));
+            self.report(entry, form::EXPIRY.check(token.expires_unix_s));
             match token.role.parse() {
                 Ok(Role::Team) => {
                     let known = self.names.teams.contains(token.team.as_str());
-                    self.known(entry, "team", &token.team, known);
+                    self.reference(entry, "team", &token.team, known);
                 }
                 Ok(Role::Operator | Role::ReadOnly) if token.team.is_empty() => {}
                 Ok(role) => {
@@ -203,10 +204,10 @@
 
     pub(super) fn rules(&mut self, rules: &v1::Rules) {
         let numbers = [
-            form::RESERVE.refuse(u64::from(rules.urgent_reserve_permille)),
-            form::AGING.refuse(rules.batch_aging_s),
-            form::QUARANTINE.refuse(u64::from(rules.quarantine_cap_permille)),
-            form::ATTEMPTS.refuse(u64::from(rules.max_attempts)),
+            form::RESERVE.check(u64::from(rules.urgent_reserve_permille)),
+            form::AGING.check(rules.batch_aging_s),
+            form::QUARANTINE.check(u64::from(rules.quarantine_cap_permille)),
+            form::ATTEMPTS.check(u64::from(rules.max_attempts)),
         ];
         for mut problem in numbers.into_iter().flatten() {
             problem.field.insert_str(0, "rules.");
@@ -216,9 +217,9 @@
         for (index, rule) in rules.accounts.iter().enumerate() {
             let entry = Entry { section: "rules.accounts", index, name: "" };
             let known = self.names.teams.contains(rule.team.as_str());
-            self.known(entry, "team", &rule.team, known);
+            self.reference(entry, "team", &rule.team, known);
             self.report(entry, form::name("account", &rule.account));
-            self.report(entry, form::PRIORITY.refuse(u64::from(rule.priority)));
+            self.report(entry, form::PRIORITY.check(u64::from(rule.priority)));
             if !seen.insert((&rule.team, &rule.account)) {
                 let problem = Problem::new("account", "has a rule already");
                 self.report(entry, Some(problem.with_value(&rule.account)));
@@ -226,7 +227,7 @@
         }
     }
 
-    /// The entries of a section that are in `scope`, with names checked.
+    /// Checks the names of the entries of a section that are in `scope`, and returns these entries.
     fn section<'n, T>(
         &mut self,
         section: &'static str,
@@ -238,20 +239,23 @@
             return Vec::new();
         }
         let mut seen = HashSet::new();
-        let mut touched = Vec::new();
-        for (index, item) in entries.iter().enumerate().filter(|(_, item)| scope.has(name(item))) {
+        let mut in_scope = Vec::new();
+        for (index, item) in
+            entries.iter().enumerate().filter(|(_, item)| scope.contains(name(item)))
+        {
             let entry = Entry { section, index, name: name(item) };
             self.report(entry, form::name("name", entry.name));
             if !seen.insert(entry.name) {
                 let problem = Problem::new("name", "is there already");
                 self.report(entry, Some(problem.with_value(entry.name)));
             }
-            touched.push(entry);
+            in_scope.push(entry);
         }
-        touched
+        in_scope
     }
 
-    fn known(&mut self, entry: Entry<'_>, member: &str, value: &str, known: bool) {
+    /// Reports a reference to an entry that does not exist, unless it is `known`.
+    fn reference(&mut self, entry: Entry<'_>, member: &str, value: &str, known: bool) {
         if !known {
             let what = member.rsplit('.').next().unwrap_or(member).replace('_', " ");
             let problem = Problem::new(member, format!("names no known {what}"));
@@ -259,13 +263,13 @@
         }
     }
 
-    /// Checks the size of a task; whether it is one that can be placed.
-    fn size(&mut self, entry: Entry<'_>, member: &str, each: &v1::Amount) -> bool {
+    /// Checks the range of each resource in the size of a task. Returns whether all of them are valid.
+    fn check_size(&mut self, entry: Entry<'_>, member: &str, each: &v1::Amount) -> bool {
         let problems = [
-            form::CPU.refuse(each.cpu_milli),
-            form::MEMORY.refuse(each.memory_mib),
-            form::ACCELERATORS.refuse(each.accelerators),
-            form::SLOTS.refuse(each.slots),
+            form::CPU.check(each.cpu_milli),
+            form::MEMORY.check(each.memory_mib),
+            form::ACCELERATORS.check(each.accelerators),
+            form::SLOTS.check(each.slots),
         ];
         let ok = problems.iter().all(Option::is_none);
         for problem in problems.into_iter().flatten() {
@@ -275,19 +279,24 @@
         ok
     }
 
-    /// A cell without workers is being set up; what must fit is checked once it has some.
-    fn fits(&mut self, entry: Entry<'_>, member: &str, tasks: u64, each: &Resources) {
+    /// Reports a problem if the cell cannot hold `tasks` tasks of size `each`.
+    ///
+    /// A cell without workers is still being set up; the check is made when its first worker is added.
+    fn check_fit(&mut self, entry: Entry<'_>, member: &str, tasks: u64, each: &Resources) {
         let Some(cell) = self.cell.as_ref().filter(|cell| !cell.total().is_zero()) else { return };
-        let room = cell.room_for(each);
-        if room < tasks {
-            let message = match room {
+        let max_tasks = cell.max_tasks(each);
+        if max_tasks < tasks {
+            let message = match max_tasks {
                 0 => "fits no worker".to_owned(),
-                _ => format!("fits {room} times into the whole cell, {tasks} tasks are asked for"),
+                _ => format!(
+                    "fits {max_tasks} times into the whole cell, {tasks} tasks are asked for"
+                ),
             };
             self.report(entry, Some(Problem::new(member, message).with_value(each)));
         }
     }
 
+    /// Records a problem of an entry, if there is one, and prefixes its field with the section and the entry.
     fn report(&mut self, entry: Entry<'_>, problem: Option<Problem>) {
         let Some(mut problem) = problem else { return };
         let Entry { section, index, name } = entry;
@@ -300,6 +309,7 @@
     }
 }
 
+/// Prefixes the field of a problem with `spec.`.
 fn in_spec(mut problem: Problem) -> Problem {
     problem.field.insert_str(0, "spec.");
     problem
--- a/lilacpass-config/src/check/fit.rs
+++ b/lilacpass-config/src/check/fit.rs
@@ -1,19 +1,20 @@
-//! What the workers of a cell have together and one by one, to tell what can never fit.
+//! Capacity of a cell and of its workers, used to detect sizes that can never fit.
 
 use std::collections::HashMap;
 
 use lilacpass_core::resources::Resources;
 use lilacpass_schema::v1;
 
-/// The workers of a cell, counted by size. Racks are bought alike, so there are few sizes.
+/// Capacity of a cell. Workers are grouped by size; there are few sizes, since the machines of a rack are alike.
 pub(crate) struct Cell {
     total: Resources,
+    /// Number of workers of each size.
     sizes: HashMap<Resources, u64>,
 }
 
 impl Cell {
-    /// Counts workers.
-    pub(crate) fn of(workers: &[v1::WorkerSpec]) -> Self {
+    /// Computes the capacity of the given workers.
+    pub(crate) fn new(workers: &[v1::WorkerSpec]) -> Self {
         let mut cell = Self { total: Resources::ZERO, sizes: HashMap::new() };
         for worker in workers {
             let size = capacity(worker);
@@ -23,32 +24,32 @@
         cell
     }
 
-    /// All workers together.
+    /// Returns the total capacity of all workers.
     pub(crate) fn total(&self) -> Resources {
         self.total
     }
 
-    /// How many tasks of a size an empty cell could run at once.
-    pub(crate) fn room_for(&self, each: &Resources) -> u64 {
+    /// Returns how many tasks of size `each` the cell could run at once if nothing else ran on it.
+    pub(crate) fn max_tasks(&self, each: &Resources) -> u64 {
         self.sizes
             .iter()
-            .map(|(size, workers)| workers.saturating_mul(times(each, size)))
+            .map(|(size, workers)| workers.saturating_mul(max_tasks_on(each, size)))
             .fold(0, u64::saturating_add)
     }
 }
 
-/// What a worker has.
+/// Returns the capacity of a worker.
 pub(crate) fn capacity(worker: &v1::WorkerSpec) -> Resources {
     Resources::new(worker.cpu_milli, worker.memory_mib, worker.accelerators, worker.slots)
 }
 
-/// An amount of the schema as resources.
+/// Converts an amount of the schema to resources.
 pub(crate) fn amount(amount: &v1::Amount) -> Resources {
     Resources::new(amount.cpu_milli, amount.memory_mib, amount.accelerators, amount.slots)
 }
 
-/// How often `each` fits into `size`.
-fn times(each: &Resources, size: &Resources) -> u64 {
+/// Returns how many tasks of size `each` a worker of this size can run at once.
+fn max_tasks_on(each: &Resources, size: &Resources) -> u64 {
     [
         (each.cpu.0, size.cpu.0),
         (each.memory.0, size.memory.0),
--- a/lilacpass-config/src/check/form.rs
+++ b/lilacpass-config/src/check/form.rs
@@ -1,4 +1,4 @@
-//! Forms and ranges of single values.
+//! Checks of the format and range of single values.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 
 use crate::{access, problem::Problem};
 
-/// A whole number with its range, for one member of an entry.
+/// Valid range of an integer field of an entry, with both bounds included.
 pub(super) struct Range {
     pub(super) member: &'static str,
     pub(super) unit: &'static str,
@@ -35,20 +35,20 @@
 pub(super) const PRIORITY: Range = range("priority", "", 0, 1_000_000);
 pub(super) const EXPIRY: Range = range("expires_unix_s", "s since 1970", 0, 1 << 40);
 
-/// Longest input of standing work, in bytes.
+/// Maximum size of the payload of standing work, in bytes.
 const MAX_PAYLOAD_LEN: usize = 65_536;
 
 impl Range {
-    /// The problem where `value` is out of range.
-    pub(super) fn refuse(&self, value: u64) -> Option<Problem> {
+    /// Returns a problem if `value` is out of range.
+    pub(super) fn check(&self, value: u64) -> Option<Problem> {
         let ok = (self.min..=self.max).contains(&value);
         (!ok).then(|| Problem::out_of_range(self.member, value, (self.min, self.max), self.unit))
     }
 }
 
-/// The problem where a name is empty or has other characters than names have.
+/// Returns a problem if a name is empty, too long or contains an invalid character.
 pub(super) fn name(member: &str, value: &str) -> Option<Problem> {
-    // All names have one form, whatever they name.
+    // Names of all kinds have the same format, so any type of id can check it.
     let ok = value.parse::<KindId>().is_ok();
     (!ok).then(|| {
         let allowed = "1 to 128 letters, digits and - _ . / :";
@@ -58,13 +58,13 @@
     })
 }
 
-/// As [`name`], but it may be empty.
+/// Like [`name`], but the name may be empty.
 pub(super) fn optional_name(member: &str, value: &str) -> Option<Problem> {
     if value.is_empty() { None } else { name(member, value) }
 }
 
-/// Whether an address is one that can be connected to, written in the one way that tells it from
-/// all others: two workers have the same address where the texts are equal.
+/// Returns whether `value` is an address that can be connected to, written in its canonical form. Requiring the
+/// canonical form ensures that two workers have the same address only if the texts are equal.
 pub(super) fn is_address(value: &str) -> bool {
     value.parse().is_ok_and(|address: SocketAddr| {
         let ip = address.ip();
@@ -73,14 +73,14 @@
     })
 }
 
-/// The problem with an address that [`is_address`] refuses.
+/// Returns the problem for an address that [`is_address`] rejects.
 pub(super) fn bad_address(value: &str) -> Problem {
     Problem::new("address", "must be IP:port of one worker, such as 192.0.2.10:7100")
         .with_allowed("IP:port")
         .with_value(format_args!("{value:?}"))
 }
 
-/// The problem where an input is too long to be kept in the configuration.
+/// Returns a problem if a payload is too large to be stored in the configuration.
 pub(super) fn payload(value: &str) -> Option<Problem> {
     (value.len() > MAX_PAYLOAD_LEN).then(|| {
         let allowed = format!("at most {MAX_PAYLOAD_LEN} bytes");
@@ -89,7 +89,8 @@
     })
 }
 
-/// The problem where a hash is not one that [`access::hash_token`] makes. The value isn't shown.
+/// Returns a problem if `value` is not a hash of the form that [`access::hash_token`] generates. The problem does not
+/// show the value.
 pub(super) fn token_hash(value: &str) -> Option<Problem> {
     (!access::is_token_hash(value)).then(|| {
         let allowed = "$argon2id$ hash in PHC string form";
--- a/lilacpass-config/src/document.rs
+++ b/lilacpass-config/src/document.rs
@@ -1,4 +1,4 @@
-//! A TOML text with the place of each value, checked against a shape.
+//! A parsed TOML document that knows the position of each value and can be checked against a [`Shape`].
 
 use std::{iter, mem};
 
@@ -14,14 +14,14 @@
     shape::{Member, Shape},
 };
 
-/// A parsed text.
+/// A parsed TOML document.
 pub(crate) struct Document<'a> {
     lines: Lines<'a>,
     root: Spanned<DeTable<'a>>,
 }
 
 impl<'a> Document<'a> {
-    /// Parses `text`, of which nothing but the syntax is checked.
+    /// Parses `text`. Only the syntax is checked.
     pub(crate) fn parse(text: &'a str) -> Result<Self, Vec<Problem>> {
         let lines = Lines::new(text);
         match DeTable::parse(text) {
@@ -30,14 +30,14 @@
         }
     }
 
-    /// Unknown keys and wrong types.
+    /// Returns a problem for each unknown key and each value of the wrong type.
     pub(crate) fn verify(&self, members: &[Member]) -> Vec<Problem> {
         let mut verifier = Verifier { lines: &self.lines, problems: Vec::new() };
         verifier.table("", self.root.get_ref(), members);
         verifier.problems
     }
 
-    /// The text as a message, without its unknown keys.
+    /// Deserialises the document, ignoring unknown keys.
     pub(crate) fn decode<T: DeserializeOwned>(
         &self,
         members: &[Member],
@@ -48,13 +48,15 @@
             .map_err(|err| vec![self.lines.syntax_problem(&err)])
     }
 
-    /// Line and column of the value at `path`, such as `workers[3].address`; of the table around
-    /// it where the value is absent, and of the start of the text where that is absent too.
+    /// Returns the line and column of the value at `path`, such as `workers[3].address`.
+    ///
+    /// If the value is absent, this is the position of the innermost enclosing table that is present, or the start of
+    /// the text if there is none.
     pub(crate) fn locate(&self, path: &str) -> (usize, usize) {
         let mut offset = 0;
         let mut table = self.root.get_ref();
-        for step in path.split('.') {
-            let (key, index) = split_index(step);
+        for segment in path.split('.') {
+            let (key, index) = split_index(segment);
             let Some(value) = table.iter().find(|(k, _)| k.get_ref() == key).map(|(_, v)| v) else {
                 break;
             };
@@ -63,10 +65,11 @@
             let Some(inner) = item.get_ref().as_table() else { break };
             table = inner;
         }
-        self.lines.place(offset)
+        self.lines.line_and_column(offset)
     }
 }
 
+/// Removes the keys of a table that are not in `members`, recursively.
 fn drop_unknown(table: &mut DeTable<'_>, members: &[Member]) {
     let known = mem::take(table).into_iter().filter_map(|(key, mut value)| {
         let member = members.iter().find(|member| member.key == key.get_ref())?;
@@ -76,6 +79,7 @@
     *table = known.collect();
 }
 
+/// Removes unknown keys from all tables within a value.
 fn drop_unknown_in(value: &mut DeValue<'_>, shape: &Shape) {
     match (value, shape) {
         (DeValue::Table(table), Shape::Table(members)) => drop_unknown(table, members),
@@ -86,18 +90,18 @@
     }
 }
 
-/// `workers[3]` as key and index.
-fn split_index(step: &str) -> (&str, Option<usize>) {
-    match step.split_once('[') {
+/// Splits a path segment such as `workers[3]` into its key and index.
+fn split_index(segment: &str) -> (&str, Option<usize>) {
+    match segment.split_once('[') {
         Some((key, index)) => (key, index.trim_end_matches(']').parse().ok()),
-        None => (step, None),
+        None => (segment, None),
     }
 }
 
-/// Finds lines and columns in a text.
+/// Converts byte offsets in a text to lines and columns.
 struct Lines<'a> {
     text: &'a str,
-    /// Offset of the first byte of each line.
+    /// Byte offset of the start of each line.
     starts: Vec<usize>,
 }
 
@@ -107,21 +111,22 @@
         Self { text, starts: iter::once(0).chain(newlines).collect() }
     }
 
-    /// Line and column of a byte offset, both from 1.
-    fn place(&self, offset: usize) -> (usize, usize) {
+    /// Returns the line and column of a byte offset, both counted from 1.
+    fn line_and_column(&self, offset: usize) -> (usize, usize) {
         let line = self.starts.partition_point(|start| *start <= offset);
         let before = self.text.get(self.starts[line - 1]..offset).unwrap_or_default();
         (line, before.chars().count() + 1)
     }
 
+    /// Converts an error of the TOML parser to a problem.
     fn syntax_problem(&self, err: &Error) -> Problem {
-        let place = self.place(err.span().map_or(0, |span| span.start));
-        // The library's message may cite the text; only its first line is short.
-        Problem::new("", err.message().lines().next().unwrap_or("not valid TOML")).at(place)
+        let position = self.line_and_column(err.span().map_or(0, |span| span.start));
+        // The parser's message may quote the document on further lines, so only the first line is used.
+        Problem::new("", err.message().lines().next().unwrap_or("not valid TOML")).at(position)
     }
 }
 
-/// Walks a text and its shape side by side.
+/// Walks a document and its shape in parallel and collects the differences.
 struct Verifier<'a> {
     lines: &'a Lines<'a>,
     problems: Vec<Problem>,
@@ -147,10 +152,10 @@
         };
         let allowed = keys().collect::<Vec<_>>().join(", ");
         let problem = Problem::new(field, message).with_allowed(allowed);
-        self.problems.push(problem.at(self.lines.place(offset)));
+        self.problems.push(problem.at(self.lines.line_and_column(offset)));
     }
 
-    /// Strings are not shown: some are secret.
+    /// Checks a value against its shape. Problems do not include the values of strings, since some are secret.
     fn value(&mut self, field: &str, value: &Spanned<DeValue<'_>>, shape: &Shape) {
         match (shape, value.get_ref()) {
             (Shape::Text, DeValue::String(_)) | (Shape::Flag, DeValue::Boolean(_)) => {}
@@ -161,7 +166,7 @@
                     let allowed = format!("0 to {max}");
                     let problem = Problem::new(field, format!("must be {allowed}"));
                     let problem = problem.with_value(digits).with_allowed(allowed);
-                    self.problems.push(problem.at(self.lines.place(value.span().start)));
+                    self.problems.push(problem.at(self.lines.line_and_column(value.span().start)));
                 }
             }
             (Shape::List(shape), DeValue::Array(items)) => {
@@ -175,16 +180,16 @@
     }
 
     fn wrong_type(&mut self, field: &str, offset: usize, shape: &Shape, value: &DeValue<'_>) {
-        let wanted = match shape {
+        let expected = match shape {
             Shape::Text => "a string",
             Shape::Whole(_) => "a whole number",
             Shape::Flag => "true or false",
             Shape::List(_) => "a list",
             Shape::Table(_) => "a table",
         };
-        let message = format!("must be {wanted}, is {}", value.type_str());
-        let problem = Problem::new(field, message).with_allowed(wanted);
-        self.problems.push(problem.at(self.lines.place(offset)));
+        let message = format!("must be {expected}, is {}", value.type_str());
+        let problem = Problem::new(field, message).with_allowed(expected);
+        self.problems.push(problem.at(self.lines.line_and_column(offset)));
     }
 }
 
--- a/lilacpass-config/src/inventory/register.rs
+++ b/lilacpass-config/src/inventory/register.rs
@@ -1,4 +1,4 @@
-//! Workers from an asset register's CSV.
+//! Imports workers from the CSV export of an asset register.
 
 use lilacpass_core::resources::Resources;
 use lilacpass_schema::v1;
@@ -9,7 +9,7 @@
     problem::{self, Problem},
 };
 
-/// The columns, all of them needed, in any order.
+/// The required columns. They may appear in any order.
 const COLUMNS: [&str; 9] = [
     "name",
     "data_centre",
@@ -24,9 +24,9 @@
 const MILLI_PER_CORE: u64 = 1_000;
 const MIB_PER_GIB: u64 = 1_024;
 
-/// Reads workers from CSV text with a header row. All problems are reported at once.
+/// Parses workers from CSV text with a header row. All problems are reported together.
 ///
-/// Whether the data centres are known shows only when the workers join a configuration.
+/// This does not check whether the data centres exist, since the text does not list them.
 pub fn parse_csv(text: &str) -> Result<Vec<v1::WorkerSpec>, Vec<Problem>> {
     let mut reader = csv::ReaderBuilder::new().trim(csv::Trim::All).from_reader(text.as_bytes());
     let header = reader.headers().map_err(|err| vec![syntax_problem(&err)])?.clone();
@@ -39,15 +39,17 @@
         }
     }
     rows.check();
-    problem::unless(rows.problems, rows.workers)
+    problem::ok_if_none(rows.problems, rows.workers)
 }
 
-/// Where each of [`COLUMNS`] stands.
+/// Positions of the columns in the text.
 struct Columns {
+    /// Position of each column, in the order of [`COLUMNS`].
     positions: [usize; COLUMNS.len()],
 }
 
 impl Columns {
+    /// Locates the columns in the header row. Reports unknown, duplicate and missing ones.
     fn find(header: &csv::StringRecord) -> Result<Self, Vec<Problem>> {
         let mut problems = Vec::new();
         for (i, column) in header.iter().enumerate() {
@@ -60,31 +62,34 @@
                 problems.push(Problem::new(column, "stands twice"));
             }
         }
-        let positions = COLUMNS.map(|wanted| {
-            header.iter().position(|column| column == wanted).unwrap_or_else(|| {
-                problems.push(Problem::new(wanted, "column is missing"));
+        let positions = COLUMNS.map(|required| {
+            header.iter().position(|column| column == required).unwrap_or_else(|| {
+                problems.push(Problem::new(required, "column is missing"));
                 0
             })
         });
         let problems = problems.into_iter().map(|p| p.with_allowed(COLUMNS.join(",")).at((1, 0)));
-        problem::unless(problems.collect(), Self { positions })
+        problem::ok_if_none(problems.collect(), Self { positions })
     }
 
+    /// Returns the value of a column in a row.
     fn value<'r>(&self, record: &'r csv::StringRecord, column: &str) -> &'r str {
         let index = COLUMNS.iter().position(|known| *known == column);
         index.and_then(|i| record.get(self.positions[i])).unwrap_or_default()
     }
 }
 
+/// The workers read so far and the problems found in them.
 #[derive(Default)]
 struct Rows {
     workers: Vec<v1::WorkerSpec>,
-    /// Line of each worker.
+    /// Line number of each worker, in the order of `workers`.
     lines: Vec<usize>,
     problems: Vec<Problem>,
 }
 
 impl Rows {
+    /// Adds the worker of one row.
     fn add(&mut self, columns: &Columns, record: &csv::StringRecord) {
         let line = record.position().map_or(0, |p| usize::try_from(p.line()).unwrap_or(usize::MAX));
         let text = |column| columns.value(record, column).to_owned();
@@ -94,7 +99,7 @@
                 let problem = Problem::new(column, "must be a whole number");
                 let problem = problem.with_value(format_args!("{value:?}"));
                 self.problems.push(problem.at((line, 0)));
-                // Any size that passes the checks to come: one problem for one value.
+                // A placeholder that passes the later checks, so that one value causes only one problem.
                 1
             })
         };
@@ -120,7 +125,7 @@
         });
     }
 
-    /// Checks the rows as the workers of a configuration that has all their data centres.
+    /// Checks the workers as part of a configuration that contains all their data centres.
     fn check(&mut self) {
         let data_centre = |w: &v1::WorkerSpec| v1::DataCentre {
             name: w.data_centre.clone(),
@@ -139,12 +144,13 @@
     }
 }
 
-/// The row in a path such as `workers[3].address`.
+/// Returns the index of the row from a path such as `workers[3].address`.
 fn row_of(path: &str) -> Option<usize> {
     let (_, rest) = path.split_once('[')?;
     rest.split_once(']')?.0.parse().ok()
 }
 
+/// Converts an error of the CSV parser to a problem.
 fn syntax_problem(err: &csv::Error) -> Problem {
     let line = err.position().map_or(0, |p| usize::try_from(p.line()).unwrap_or(usize::MAX));
     let message = match err.kind() {
--- a/lilacpass-config/src/inventory/shape.rs
+++ b/lilacpass-config/src/inventory/shape.rs
@@ -1,8 +1,8 @@
-//! The keys of a configuration in TOML, as in the schema.
+//! The keys and value types of a configuration in TOML, which mirror the messages of `config.proto`.
 
 use crate::shape::{Member, flag, table, tables, text, texts, whole, whole_u32};
 
-/// A whole configuration.
+/// Returns the members of the top-level table.
 pub(super) fn configuration() -> Vec<Member> {
     vec![
         tables("data_centres", vec![text("name"), text("region")]),
--- a/lilacpass-config/src/lib.rs
+++ b/lilacpass-config/src/lib.rs
@@ -1,7 +1,7 @@
-//! Configuration of lilacpass: settings of a process, the inventory and rules that operators
-//! change, the fold of those changes over the log, and access by token.
+//! Configuration of lilacpass: the settings of a process, the inventory and rules that operators change, the fold that
+//! derives the configuration from the log, and access control by tokens.
 //!
-//! Texts come in as arguments; nothing here performs I/O or reads a clock.
+//! This crate performs no I/O and reads no clock: texts and times are passed in by the caller.
 
 pub mod access;
 pub mod change;
--- a/lilacpass-config/src/nearest.rs
+++ b/lilacpass-config/src/nearest.rs
@@ -1,29 +1,29 @@
-//! The known name that is nearest to a mistyped one.
+//! Suggests the known name that is closest to a mistyped one.
 
-/// Longest name that is compared; a longer one has no near neighbour worth showing.
+/// Maximum length in bytes of a name for which a suggestion is searched. Longer names are not plausible typing errors.
 const MAX_COMPARED_LEN: usize = 64;
 
-/// The name among `known` that differs from `name` in the fewest letters, where it is near enough
-/// to be a slip of the keyboard. A name that only lacks its unit is nearest.
+/// Returns the name among `known` with the smallest edit distance to `name`, if it is close enough to be a typing
+/// error. A missing unit suffix does not count as a difference.
 pub(crate) fn nearest<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     if name.len() > MAX_COMPARED_LEN {
         return None;
     }
     let limit = name.chars().count() / 3 + 1;
     known
-        .map(|candidate| (distance_but_for_unit(name, candidate), candidate))
+        .map(|candidate| (distance_ignoring_unit(name, candidate), candidate))
         .min()
-        .filter(|(letters, _)| *letters <= limit)
+        .filter(|(distance, _)| *distance <= limit)
         .map(|(_, candidate)| candidate)
 }
 
-/// The distance to the known name with or without its unit, such as `_ms`.
-fn distance_but_for_unit(name: &str, known: &str) -> usize {
+/// Returns the smaller of the distances to the known name with and without its unit suffix, such as `_ms`.
+fn distance_ignoring_unit(name: &str, known: &str) -> usize {
     let without_unit = known.rsplit_once('_').map_or(known, |(stem, _)| stem);
     distance(name, known).min(distance(name, without_unit))
 }
 
-/// Edit distance (Levenshtein) in characters.
+/// Returns the Levenshtein distance between two names, in characters.
 fn distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
--- a/lilacpass-config/src/problem.rs
+++ b/lilacpass-config/src/problem.rs
@@ -1,38 +1,38 @@
-//! What is wrong with a text or a message, with the place where it stands and what is allowed.
+//! Validation problems in texts and messages, with their position and the allowed values.
 
 use std::{error, fmt};
 
 use serde::Serialize;
 
-/// Longest part of a refused value that is shown, in characters.
+/// Maximum number of characters of a rejected value that are shown.
 const MAX_SHOWN_CHARS: usize = 64;
 
-/// One thing that is wrong with settings, an inventory or a change.
+/// One validation problem in settings, an inventory or a change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Problem {
-    /// Line in the text, from 1; 0 where there is no text, as in a change.
+    /// Line number in the text, from 1; 0 if there is no text, as for a change.
     pub line: usize,
-    /// Column in the line, in characters from 1; 0 where it is not known.
+    /// Column in the line, in characters from 1; 0 if it is not known.
     pub column: usize,
-    /// The field, such as `holding.lease_ms` or `workers[hal-a-01].address`; may be empty.
+    /// Path of the field, such as `holding.lease_ms` or `workers[hal-a-01].address`; may be empty.
     pub field: String,
-    /// The refused value as written; empty where there is none or where it is secret.
+    /// The rejected value as written; empty if there is none or if it is secret.
     pub value: String,
-    /// What is wrong, in one phrase.
+    /// Short description of the problem, to be read after the field and its value.
     pub message: String,
-    /// Unit of the field; empty where it has none.
+    /// Unit of the field; empty if it has none.
     pub unit: &'static str,
-    /// What is allowed, such as `500 to 60000`; empty where the message says all.
+    /// Description of the allowed values, such as `500 to 60000`; empty if the message is sufficient.
     pub allowed: String,
 }
 
 impl Problem {
-    /// A problem of `field`, without a place.
+    /// Creates a problem of `field` without a position in a text.
     pub fn new(field: impl Into<String>, message: impl Into<String>) -> Self {
         Self { field: field.into(), message: message.into(), ..Self::default() }
     }
 
-    /// A number outside of `min` to `max`.
+    /// Creates a problem for a number outside the range from `min` to `max`.
     pub(crate) fn out_of_range(
         field: impl Into<String>,
         value: u64,
@@ -44,21 +44,21 @@
         Self { unit, allowed, ..Self::new(field, message.trim_end()).with_value(value) }
     }
 
-    /// Adds the refused value.
+    /// Sets the rejected value, shortened to [`MAX_SHOWN_CHARS`].
     #[must_use]
     pub(crate) fn with_value(mut self, value: impl fmt::Display) -> Self {
         self.value = value.to_string().chars().take(MAX_SHOWN_CHARS).collect();
         self
     }
 
-    /// Adds what is allowed.
+    /// Sets the description of the allowed values.
     #[must_use]
     pub(crate) fn with_allowed(mut self, allowed: impl Into<String>) -> Self {
         self.allowed = allowed.into();
         self
     }
 
-    /// Adds the place in the text.
+    /// Sets the position in the text.
     #[must_use]
     pub(crate) fn at(mut self, (line, column): (usize, usize)) -> Self {
         (self.line, self.column) = (line, column);
@@ -84,12 +84,12 @@
 
 impl error::Error for Problem {}
 
-/// `Ok(value)` where there is no problem; else all of them in the order of the text.
-pub(crate) fn unless<T>(problems: Vec<Problem>, value: T) -> Result<T, Vec<Problem>> {
+/// Returns `Ok(value)` if there are no problems, and otherwise all problems in the order of the text.
+pub(crate) fn ok_if_none<T>(problems: Vec<Problem>, value: T) -> Result<T, Vec<Problem>> {
     if problems.is_empty() { Ok(value) } else { Err(sorted(problems)) }
 }
 
-/// The problems in the order of the text.
+/// Sorts problems by their position in the text.
 pub(crate) fn sorted(mut problems: Vec<Problem>) -> Vec<Problem> {
     problems.sort_by_key(|problem| (problem.line, problem.column));
     problems
--- a/lilacpass-config/src/settings.rs
+++ b/lilacpass-config/src/settings.rs
@@ -48,7 +48,7 @@
         problem.at(place)
     };
     match check(&message) {
-        Ok(settings) => problem::unless(problems, settings),
+        Ok(settings) => problem::ok_if_none(problems, settings),
         Err(found) => {
             problems.extend(found.into_iter().map(located));
             Err(problem::sorted(problems))
--- a/lilacpass-config/src/settings/reader.rs
+++ b/lilacpass-config/src/settings/reader.rs
@@ -38,7 +38,7 @@
     if reader.problems.is_empty() {
         reader.relations(&settings);
     }
-    problem::unless(reader.problems, settings)
+    problem::ok_if_none(reader.problems, settings)
 }
 
 /// Reads fields one by one and gathers what is wrong.
--- a/lilacpass-config/src/shape.rs
+++ b/lilacpass-config/src/shape.rs
@@ -1,68 +1,68 @@
-//! The shape that a TOML text must have: known keys and the type of each.
+//! The expected structure of a TOML document: the known keys and the type of each value.
 
-/// What a value must be.
+/// The expected type of a value.
 #[derive(Clone, Debug)]
 pub(crate) enum Shape {
     /// A string.
     Text,
-    /// A whole number from 0 to this one.
+    /// An integer from 0 to this maximum.
     Whole(u64),
     /// `true` or `false`.
     Flag,
-    /// A list of values of one shape.
+    /// A list whose values all have this shape.
     List(Box<Shape>),
-    /// A table with these keys, each of which may be absent.
+    /// A table with these keys, all of which are optional.
     Table(Vec<Member>),
 }
 
-/// A key of a table.
+/// A key of a table and the shape of its value.
 #[derive(Clone, Debug)]
 pub(crate) struct Member {
-    /// The key.
+    /// Name of the key.
     pub(crate) key: &'static str,
-    /// What its value must be.
+    /// Expected shape of the value.
     pub(crate) shape: Shape,
 }
 
-/// Largest number that TOML holds.
+/// Largest integer that TOML can represent.
 pub(crate) const MAX_WHOLE: u64 = i64::MAX as u64;
 
-/// A key with any shape.
+/// Creates a key whose value has the given shape.
 pub(crate) fn member(key: &'static str, shape: Shape) -> Member {
     Member { key, shape }
 }
 
-/// A key with a string.
+/// Creates a key whose value is a string.
 pub(crate) fn text(key: &'static str) -> Member {
     member(key, Shape::Text)
 }
 
-/// A key with a number of 64 bits.
+/// Creates a key whose value is an unsigned 64-bit integer, limited to what TOML can represent.
 pub(crate) fn whole(key: &'static str) -> Member {
     member(key, Shape::Whole(MAX_WHOLE))
 }
 
-/// A key with a number of 32 bits.
+/// Creates a key whose value is an unsigned 32-bit integer.
 pub(crate) fn whole_u32(key: &'static str) -> Member {
     member(key, Shape::Whole(u64::from(u32::MAX)))
 }
 
-/// A key with `true` or `false`.
+/// Creates a key whose value is `true` or `false`.
 pub(crate) fn flag(key: &'static str) -> Member {
     member(key, Shape::Flag)
 }
 
-/// A key with a list of strings.
+/// Creates a key whose value is a list of strings.
 pub(crate) fn texts(key: &'static str) -> Member {
     member(key, Shape::List(Box::new(Shape::Text)))
 }
 
-/// A key with a table.
+/// Creates a key whose value is a table.
 pub(crate) fn table(key: &'static str, members: Vec<Member>) -> Member {
     member(key, Shape::Table(members))
 }
 
-/// A key with a list of tables.
+/// Creates a key whose value is a list of tables.
 pub(crate) fn tables(key: &'static str, members: Vec<Member>) -> Member {
     member(key, Shape::List(Box::new(Shape::Table(members))))
 }
