--- a/lilacpass-config/src/settings.rs
+++ b/lilacpass-config/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one `lilacpassd` process: TOML text to typed values, with defaults and checks.
+//! Settings of one `lilacpassd` process: converts TOML text to typed values, applies defaults and checks the values.
 
 use lilacpass_schema::v1;
 
@@ -17,23 +17,24 @@
 };
 pub use reader::check;
 
-/// Description of one setting, for documents and `--help`.
+/// Description of one setting for the documentation and `--help`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FieldDoc {
     /// Section and key, such as `holding.lease_ms`.
     pub path: &'static str,
-    /// Unit of a number; empty for others.
+    /// Unit of a number; empty if it has none or if the setting is a text.
     pub unit: &'static str,
-    /// Default as written in TOML; empty where the setting is required.
+    /// Default value; empty if the setting is required or empty by default.
     pub default: String,
-    /// What is allowed, such as `500 to 60000`.
+    /// Allowed values, such as `500 to 60000`.
     pub allowed: String,
-    /// What it is for.
+    /// Purpose of the setting.
     pub doc: &'static str,
 }
 
-/// Reads settings from TOML text. All problems are reported at once, but that ranges are told
-/// only where all types are right.
+/// Parses settings from TOML text and checks them.
+///
+/// All problems are reported together, except that values are checked only if all of them have the right type.
 pub fn parse(text: &str) -> Result<Settings, Vec<Problem>> {
     let document = Document::parse(text)?;
     let shape = fields::shape();
@@ -44,8 +45,8 @@
         Err(undecodable) => return Err(undecodable),
     };
     let located = |problem: Problem| {
-        let place = document.locate(&problem.field);
-        problem.at(place)
+        let position = document.locate(&problem.field);
+        problem.at(position)
     };
     match check(&message) {
         Ok(settings) => problem::ok_if_none(problems, settings),
@@ -56,7 +57,7 @@
     }
 }
 
-/// All settings in the order of the schema's sections.
+/// Describes all settings, in the order of their sections in the schema.
 pub fn describe() -> Vec<FieldDoc> {
     let texts = fields::TEXTS.iter().map(|field| FieldDoc {
         path: field.path,
--- a/lilacpass-config/src/settings/fields.rs
+++ b/lilacpass-config/src/settings/fields.rs
@@ -1,5 +1,6 @@
-//! The table of settings: path, unit, default and range of each. Defaults, checks and the
-//! description for people all come from here.
+//! The table of all settings with their paths, units, defaults and ranges.
+//!
+//! It is the single source for the defaults, the checks and the documentation of the settings.
 
 use crate::shape::{self, Member};
 
@@ -18,19 +19,21 @@
 #[derive(Debug)]
 pub(crate) struct Text {
     pub(crate) path: &'static str,
-    /// Form of the value, for people.
+    /// Human-readable description of the expected format.
     pub(crate) form: &'static str,
-    /// Empty where the setting is required.
+    /// Default value; empty if the setting is required or empty by default.
     pub(crate) default: &'static str,
     pub(crate) kind: TextKind,
     pub(crate) doc: &'static str,
 }
 
-/// How a setting is written.
+/// Type of a text setting in TOML.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TextKind {
-    One,
-    Many,
+    /// A string.
+    Single,
+    /// A list of strings.
+    List,
 }
 
 macro_rules! numbers {
@@ -54,21 +57,21 @@
 }
 
 texts! {
-    NAME: "instance.name", One, "name", "",
+    NAME: "instance.name", Single, "name", "",
         "Name of this entry instance, as in the instance list.";
-    DATA_CENTRE: "instance.data_centre", One, "name", "",
+    DATA_CENTRE: "instance.data_centre", Single, "name", "",
         "Data centre that this entry instance is in.";
-    HTTP_ADDRESS: "instance.http_address", One, "IP:port", "",
+    HTTP_ADDRESS: "instance.http_address", Single, "IP:port", "",
         "Address for callers and operators; port 0 takes a free one.";
-    PEER_ADDRESS: "instance.peer_address", One, "IP:port", "",
+    PEER_ADDRESS: "instance.peer_address", Single, "IP:port", "",
         "Address for other entry instances; port 0 takes a free one.";
-    PEER_KEY: "instance.peer_key", One, "16 to 256 characters, empty only on loopback", "",
+    PEER_KEY: "instance.peer_key", Single, "16 to 256 characters, empty only on loopback", "",
         "Key that entry instances and the platform show each other.";
-    LOG_ADDRESSES: "platform.log_addresses", Many, "list of IP:port", "",
+    LOG_ADDRESSES: "platform.log_addresses", List, "list of IP:port", "",
         "Addresses of the log service.";
-    LIST_ADDRESSES: "platform.instance_list_addresses", Many, "list of IP:port", "",
+    LIST_ADDRESSES: "platform.instance_list_addresses", List, "list of IP:port", "",
         "Addresses of the instance list.";
-    STREAM_PREFIX: "platform.stream_prefix", One, "name", "lilacpass",
+    STREAM_PREFIX: "platform.stream_prefix", Single, "name", "lilacpass",
         "Name that stands before the names of this cell's streams.";
 }
 
@@ -121,13 +124,14 @@
         "Longest wait for news in one report call to a worker.";
 }
 
-/// The shape of the settings file, in the order of the schema.
+/// Returns the shape of the settings file, with the sections in the order of the schema.
 pub(crate) fn shape() -> Vec<Member> {
     ["instance", "platform", "holding", "peers", "traffic", "jobs"]
         .map(|section| shape::table(section, section_members(section)))
         .into()
 }
 
+/// Returns the keys of one section.
 fn section_members(section: &str) -> Vec<Member> {
     let key_of = |path: &'static str| {
         path.split_once('.').filter(|(prefix, _)| *prefix == section).map(|(_, key)| key)
@@ -135,8 +139,8 @@
     let texts = TEXTS.iter().filter_map(|field| {
         let key = key_of(field.path)?;
         Some(match field.kind {
-            TextKind::One => shape::text(key),
-            TextKind::Many => shape::texts(key),
+            TextKind::Single => shape::text(key),
+            TextKind::List => shape::texts(key),
         })
     });
     let numbers = NUMBERS.iter().filter_map(|field| key_of(field.path).map(shape::whole));
--- a/lilacpass-config/src/settings/model.rs
+++ b/lilacpass-config/src/settings/model.rs
@@ -1,4 +1,4 @@
-//! Settings as typed values.
+//! The settings as typed values.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,111 +9,113 @@
 
 use crate::access::PeerKey;
 
-/// Settings of one process, checked, with all defaults applied.
+/// Settings of one process, checked and with all defaults applied.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Who and where this process is.
+    /// Name, location and addresses of this process.
     pub instance: InstanceSettings,
-    /// The platform's services.
+    /// Use of the platform's services.
     pub platform: PlatformSettings,
     /// Leases on workers.
     pub holding: HoldingSettings,
-    /// Other entry instances.
+    /// Communication with other entry instances.
     pub peers: PeerSettings,
-    /// Callers.
+    /// Limits on the requests of callers.
     pub traffic: TrafficSettings,
-    /// Jobs and their tasks.
+    /// Execution of jobs and retention of their results.
     pub jobs: JobSettings,
 }
 
-/// Who and where this process is.
+/// Name, location and addresses of this process.
 #[derive(Clone, Debug)]
 pub struct InstanceSettings {
-    /// Name of this entry instance.
+    /// Name of this entry instance, as in the instance list.
     pub name: InstanceId,
-    /// Data centre that it is in.
+    /// Data centre in which this entry instance runs.
     pub data_centre: DataCentreId,
-    /// Address for callers and operators.
+    /// Listen address for callers and operators.
     pub http_address: SocketAddr,
-    /// Address for other entry instances.
+    /// Listen address for other entry instances.
     pub peer_address: SocketAddr,
-    /// Key that entry instances show each other; `None` only on loopback.
+    /// Key with which entry instances and the platform authenticate to each other; may be `None` only if the peer
+    /// address is a loopback address.
     pub peer_key: Option<PeerKey>,
 }
 
-/// The platform's services.
+/// Use of the platform's services: the log and the instance list.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
     /// Addresses of the log service, at least one.
     pub log_addresses: Vec<SocketAddr>,
     /// Addresses of the instance list, at least one.
     pub instance_list_addresses: Vec<SocketAddr>,
-    /// Deadline of one call.
+    /// Deadline of one call to the platform.
     pub call_timeout: Duration,
-    /// How long records of one batch are gathered.
+    /// How long records are collected into a batch before it is appended.
     pub batch: Duration,
-    /// How often the instance list is read.
+    /// Interval at which the instance list is read.
     pub list_interval: Duration,
-    /// Name that stands before the names of this cell's streams.
+    /// Prefix of the names of this cell's streams.
     pub stream_prefix: String,
-    /// Records after which a stream is written again as a snapshot.
+    /// Number of records after which a new snapshot of a stream is written.
     pub snapshot_records: u64,
 }
 
 /// Leases on workers.
 #[derive(Clone, Debug)]
 pub struct HoldingSettings {
-    /// Duration of a lease.
+    /// Duration of a lease on workers.
     pub lease: Duration,
-    /// Time between two renewals.
+    /// Time between two renewals of a lease.
     pub renew: Duration,
-    /// Largest difference in rate between two clocks, in parts per million.
+    /// Maximum difference in rate between two clocks, in parts per million.
     pub clock_drift_ppm: u64,
-    /// Longest time that a start may be under way.
+    /// Maximum time between the sending and the arrival of a start.
     pub start_flight: Duration,
     /// Duration of a grant.
     pub grant: Duration,
-    /// Longest pause of a process that clears an old holder.
+    /// Maximum time for which a process may be paused and then resume. An old holder that is off the instance list for
+    /// longer is considered dead.
     pub longest_pause: Duration,
 }
 
-/// Other entry instances.
+/// Communication with other entry instances.
 #[derive(Clone, Debug)]
 pub struct PeerSettings {
-    /// Time between two heartbeats.
+    /// Time between two heartbeats to a peer of the same data centre.
     pub heartbeat: Duration,
-    /// Time without an answer after which a peer counts as unreachable.
+    /// Time without a response after which a peer counts as unreachable.
     pub silent: Duration,
 }
 
-/// Callers.
+/// Limits on the requests of callers.
 #[derive(Clone, Debug)]
 pub struct TrafficSettings {
-    /// Threads for traffic.
+    /// Number of threads that serve traffic.
     pub threads: usize,
-    /// Largest request body.
+    /// Maximum size of a request body.
     pub max_body: Bytes,
-    /// Most connections at once.
+    /// Maximum number of concurrent connections of callers.
     pub max_connections: usize,
-    /// Most quick requests that wait at once.
+    /// Maximum number of quick requests that wait at this instance at the same time.
     pub max_queued: usize,
-    /// Longest deadline that a caller may set.
+    /// Maximum deadline that a caller may set.
     pub max_deadline: Duration,
-    /// Retries per hundred requests.
+    /// Maximum number of retries that this instance makes per hundred requests.
     pub retry_budget_percent: u64,
 }
 
-/// Jobs and their tasks.
+/// Execution of jobs and retention of their results.
 #[derive(Clone, Debug)]
 pub struct JobSettings {
     /// Duration of a task's lease on its worker.
     pub task_lease: Duration,
-    /// How long room is set aside while an attempt is written.
+    /// How long capacity stays reserved while the record of an attempt is written.
     pub hold: Duration,
-    /// How long results of ended jobs are kept.
+    /// How long the results of ended jobs are kept.
     pub keep_ended: Duration,
-    /// Largest result that is kept.
+    /// Maximum size of a result that is kept.
     pub max_result: Bytes,
-    /// Longest wait for news in one report call.
+    /// Maximum time that a report call to a worker waits for changes.
     pub report_wait: Duration,
 }
--- a/lilacpass-config/src/settings/reader.rs
+++ b/lilacpass-config/src/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the fields of the settings message, with defaults, ranges and relations.
+//! Converts the settings message to typed values: applies defaults and checks ranges and relations between settings.
 
 use std::{net::SocketAddr, str::FromStr, time::Duration};
 
@@ -17,10 +17,10 @@
     problem::{self, Problem},
 };
 
-/// Shortest and longest key that peers show each other, in bytes.
+/// Minimum and maximum length of a peer key, in bytes.
 const PEER_KEY_LEN: (usize, usize) = (16, 256);
 
-/// Checks settings and applies the defaults.
+/// Checks a settings message and applies the defaults. All problems are returned together.
 pub fn check(message: &v1::Settings) -> Result<Settings, Vec<Problem>> {
     let mut reader = Reader::default();
     let message = message.clone();
@@ -34,14 +34,14 @@
         return Err(reader.problems);
     };
     let settings = Settings { instance, platform, holding, peers, traffic, jobs };
-    // A value that is out of range would be told a second time by what it relates to.
+    // Relations are checked only if all values are in range; otherwise one wrong value could be reported twice.
     if reader.problems.is_empty() {
-        reader.relations(&settings);
+        reader.check_relations(&settings);
     }
     problem::ok_if_none(reader.problems, settings)
 }
 
-/// Reads fields one by one and gathers what is wrong.
+/// Reads the fields of the message and collects the problems found.
 #[derive(Default)]
 struct Reader {
     problems: Vec<Problem>,
@@ -123,26 +123,41 @@
         }
     }
 
-    /// What must hold between two settings.
-    fn relations(&mut self, settings: &Settings) {
+    /// Checks the constraints between settings.
+    fn check_relations(&mut self, settings: &Settings) {
         let Settings { platform, holding, peers, jobs, .. } = settings;
-        // A renewal that is lost once must be made up for before the lease ends.
-        self.less(&fields::RENEW, holding.renew, "half of holding.lease_ms", holding.lease / 2);
-        let left = holding.lease.saturating_sub(holding.renew);
-        let rest = "holding.lease_ms less holding.renew_ms";
-        self.less(&fields::CALL_TIMEOUT, platform.call_timeout, rest, left);
-        self.less(&fields::START_FLIGHT, holding.start_flight, "holding.lease_ms", holding.lease);
-        self.less(&fields::HEARTBEAT, peers.heartbeat, "peers.silent_ms", peers.silent);
-        self.less(
+        // If one renewal is lost, there must be time for another one before the lease expires.
+        self.require_less(
+            &fields::RENEW,
+            holding.renew,
+            "half of holding.lease_ms",
+            holding.lease / 2,
+        );
+        let remaining = holding.lease.saturating_sub(holding.renew);
+        let source = "holding.lease_ms less holding.renew_ms";
+        self.require_less(&fields::CALL_TIMEOUT, platform.call_timeout, source, remaining);
+        self.require_less(
+            &fields::START_FLIGHT,
+            holding.start_flight,
+            "holding.lease_ms",
+            holding.lease,
+        );
+        self.require_less(&fields::HEARTBEAT, peers.heartbeat, "peers.silent_ms", peers.silent);
+        self.require_less(
             &fields::REPORT_WAIT,
             jobs.report_wait,
             "half of jobs.task_lease_ms",
             jobs.task_lease / 2,
         );
-        self.less(&fields::LEASE, holding.lease, "holding.longest_pause_ms", holding.longest_pause);
-        // A task must live until the next holder of its worker has claimed it and renews.
+        self.require_less(
+            &fields::LEASE,
+            holding.lease,
+            "holding.longest_pause_ms",
+            holding.longest_pause,
+        );
+        // A task's lease must not expire before the next holder of its worker has claimed it and renews the lease.
         let third = "a third of jobs.task_lease_ms";
-        self.less(&fields::LEASE, holding.lease, third, jobs.task_lease / 3);
+        self.require_less(&fields::LEASE, holding.lease, third, jobs.task_lease / 3);
         if holding.grant < peers.heartbeat * 2 {
             let message = "must be at least two times peers.heartbeat_ms, \
                            so that one lost heartbeat doesn't end the grants";
@@ -151,15 +166,17 @@
         }
     }
 
-    fn less(&mut self, field: &Number, value: Duration, of: &str, bound: Duration) {
+    /// Reports a problem unless `value` is less than `bound`, which `source` describes.
+    fn require_less(&mut self, field: &Number, value: Duration, source: &str, bound: Duration) {
         if value >= bound {
             let allowed = format!("less than {}", bound.as_millis());
-            let message = format!("must be {allowed} ms ({of})");
+            let message = format!("must be {allowed} ms ({source})");
             let problem = Problem::new(field.path, message).with_value(value.as_millis());
             self.problems.push(Problem { unit: field.unit, allowed, ..problem });
         }
     }
 
+    /// Returns the value of a number, or its default if it is 0. Reports a problem if it is out of range.
     fn number(&mut self, field: &Number, value: u64) -> u64 {
         if value == 0 {
             return field.default;
@@ -171,14 +188,17 @@
         value
     }
 
+    /// Returns the value of a setting in milliseconds as a duration.
     fn ms(&mut self, field: &Number, value: u64) -> Duration {
         Duration::from_millis(self.number(field, value))
     }
 
+    /// Returns the value of a setting that is a count.
     fn count(&mut self, field: &Number, value: u64) -> usize {
         usize::try_from(self.number(field, value)).unwrap_or(usize::MAX)
     }
 
+    /// Parses the value of a text setting. Reports a problem if it is missing or malformed.
     fn value<T: FromStr>(&mut self, field: &Text, value: &str) -> Option<T> {
         let parsed = value.parse().ok();
         if parsed.is_none() {
@@ -192,6 +212,7 @@
         parsed
     }
 
+    /// Parses a list of addresses. Reports a problem if it is empty or if an address is malformed.
     fn addresses(&mut self, field: &Text, values: &[String]) -> Option<Vec<SocketAddr>> {
         if values.is_empty() {
             let problem = Problem::new(field.path, "needs at least one address, as IP:port");
@@ -202,8 +223,8 @@
         (parsed.len() == values.len()).then_some(parsed)
     }
 
-    /// Anyone who reaches the peer address could otherwise speak for an entry instance, so only
-    /// loopback goes without a key.
+    /// Reads the peer key, which may be absent only if the peer address is a loopback address. Without a key, anyone
+    /// who can reach the address could impersonate an entry instance.
     fn peer_key(&mut self, key: &str, address: Option<SocketAddr>) -> Option<PeerKey> {
         let (min, max) = PEER_KEY_LEN;
         let loopback = address.is_none_or(|a| a.ip().is_loopback());
