--- a/lilacpass-config/tests/access.rs
+++ b/lilacpass-config/tests/access.rs
@@ -1,4 +1,4 @@
-//! Tokens: only their hashes are kept, they expire, and the cache forgets with the configuration.
+//! Access tokens: hashing, verification, expiry, and invalidation of the cache by configuration changes.
 
 mod common;
 
@@ -8,21 +8,24 @@
 
 const NOW_UNIX_S: u64 = 1_000_000;
 
-fn known(name: &str) -> (String, AccessToken) {
+/// Generates an operator token named `name` and its configuration entry.
+fn operator_token(name: &str) -> (String, AccessToken) {
     let (text, token) = access::new_token(name);
     (text, AccessToken { role: "operator".to_owned(), ..token })
 }
 
 #[test]
-fn a_new_token_opens_and_no_other_does() {
-    let (anna, token) = known("anna_b");
-    let (other, _) = known("anna_b");
+fn only_the_generated_token_is_accepted() {
+    let (anna, token) = operator_token("anna_b");
+    let (other, _) = operator_token("anna_b");
     let tokens = [common::token("x", "operator", ""), token];
     assert!(anna.starts_with("lilac_anna_b_"));
     assert!(!format!("{tokens:?}").contains(&anna));
     assert_eq!(access::verify(&tokens, &anna, NOW_UNIX_S).unwrap().name, "anna_b");
-    let long = format!("lilac_anna_b_{}", "0".repeat(500));
-    for wrong in [other.as_str(), "", "lilac_", "lilac_anna_b_", "lilac_x_00", &anna[1..], &long] {
+    let too_long = format!("lilac_anna_b_{}", "0".repeat(500));
+    for wrong in
+        [other.as_str(), "", "lilac_", "lilac_anna_b_", "lilac_x_00", &anna[1..], &too_long]
+    {
         assert_eq!(
             access::verify(&tokens, wrong, NOW_UNIX_S),
             Err(AccessError::Unknown),
@@ -32,7 +35,7 @@
 }
 
 #[test]
-fn the_same_token_has_another_hash_each_time() {
+fn hashing_a_token_twice_gives_different_hashes() {
     let hashes = [access::hash_token("lilac_a_0"), access::hash_token("lilac_a_0")];
     assert_ne!(hashes[0], hashes[1]);
     assert!(hashes.iter().all(|hash| hash.starts_with("$argon2id$v=19$")));
@@ -40,7 +43,7 @@
 
 #[test]
 fn a_token_expires_also_while_it_is_cached() {
-    let (text, mut token) = known("anna");
+    let (text, mut token) = operator_token("anna");
     token.expires_unix_s = NOW_UNIX_S + 1;
     let tokens = [token];
     let mut cache = TokenCache::new(4);
@@ -53,12 +56,12 @@
     }
 }
 
-/// A token leaked and was removed. Its bearer must be shut out with that change, not when the
-/// cache happens to forget. Cause: the cache remembers what an older configuration said.
+/// Guards against a removed token, for example a leaked one, that stays valid until the cache evicts it. The cause would
+/// be a cache that uses entries of an older configuration revision.
 #[test]
 fn a_removed_or_replaced_token_is_refused_though_it_was_cached() {
-    let (text, token) = known("anna");
-    let (_, successor) = known("anna");
+    let (text, token) = operator_token("anna");
+    let (_, successor) = operator_token("anna");
     let mut cache = TokenCache::new(4);
     let tokens = [token];
     assert!(cache.verify(Revision(1), &tokens, &text, NOW_UNIX_S).is_ok());
@@ -70,8 +73,8 @@
 }
 
 #[test]
-fn the_cache_is_bounded_and_keeps_no_wrong_token() {
-    let (text, token) = known("anna");
+fn the_cache_is_bounded_and_stores_no_rejected_token() {
+    let (text, token) = operator_token("anna");
     let tokens = [token];
     let mut cache = TokenCache::new(2);
     assert!(cache.verify(Revision(1), &tokens, "lilac_anna_00", NOW_UNIX_S).is_err());
--- a/lilacpass-config/tests/change.rs
+++ b/lilacpass-config/tests/change.rs
@@ -1,4 +1,4 @@
-//! Changes: all steps or none, and the same verdict as a check of everything.
+//! Configuration changes: they are atomic, and incremental checks give the same result as a full check.
 
 mod common;
 
@@ -13,10 +13,11 @@
 };
 use lilacpass_schema::v1::{self, config_op::Op};
 
-/// Steps of the longest random list.
+/// Maximum number of steps in a random list.
 const MAX_STEPS: usize = 200;
 
-fn shown(result: Result<v1::Configuration, Vec<lilacpass_config::Problem>>) -> Vec<String> {
+/// Returns the problems of a rejected change as texts.
+fn problem_texts(result: Result<v1::Configuration, Vec<lilacpass_config::Problem>>) -> Vec<String> {
     result.expect_err("refused").iter().map(ToString::to_string).collect()
 }
 
@@ -31,29 +32,29 @@
 
     let steps = [op(drain("w0", true)), op(drain("w9", true)), v1::ConfigOp { op: None }];
     assert_eq!(
-        shown(change::apply(&old, &steps)),
+        problem_texts(change::apply(&old, &steps)),
         ["ops[1] = \"w9\": names nothing that is there", "ops[2]: is empty or of an unknown kind"]
     );
     assert_eq!(old, configuration(2));
-    assert_eq!(shown(change::apply(&old, &[])), ["ops = 0: must be 1 to 10000 steps"]);
+    assert_eq!(problem_texts(change::apply(&old, &[])), ["ops = 0: must be 1 to 10000 steps"]);
 }
 
 #[test]
-fn a_step_may_build_on_a_later_one() {
-    let mut there = worker(5);
-    there.data_centre = "hal-b".to_owned();
+fn a_step_may_refer_to_an_entry_that_a_later_step_adds() {
+    let mut new_worker = worker(5);
+    new_worker.data_centre = "hal-b".to_owned();
     let centre = v1::DataCentre { name: "hal-b".into(), region: String::new() };
-    let steps = [op(Op::UpsertWorker(there)), op(Op::UpsertDataCentre(centre))];
+    let steps = [op(Op::UpsertWorker(new_worker)), op(Op::UpsertDataCentre(centre))];
     assert!(change::apply(&configuration(1), &steps).is_ok());
     assert_eq!(
-        shown(change::apply(&configuration(1), &steps[..1])),
+        problem_texts(change::apply(&configuration(1), &steps[..1])),
         ["workers[w5].data_centre = \"hal-b\": names no known data centre"]
     );
 }
 
-/// Each step that can break something that it doesn't touch itself.
+/// Covers every kind of step that can invalidate entries other than the one it modifies.
 #[test]
-fn a_change_that_breaks_what_refers_to_it_is_refused() {
+fn a_change_that_invalidates_other_entries_is_refused() {
     let old = configuration(1);
     let mut small = worker(0);
     small.cpu_milli = 2_000;
@@ -74,51 +75,52 @@
         (Op::SetRules(v1::Rules { max_attempts: 1_001, ..v1::Rules::default() }), "max_attempts"),
         (Op::UpsertStanding(v1::StandingWork { spec: None, ..standing("x") }), "is required"),
     ];
-    for (step, wanted) in cases {
-        let problems = shown(change::apply(&old, &[op(step.clone())])).join("\n");
-        assert!(problems.contains(wanted), "{step:?}: {problems}");
+    for (step, expected) in cases {
+        let problems = problem_texts(change::apply(&old, &[op(step.clone())])).join("\n");
+        assert!(problems.contains(expected), "{step:?}: {problems}");
     }
 }
 
 #[test]
-fn the_first_worker_shows_what_never_fits() {
+fn sizes_are_checked_when_the_first_worker_is_added() {
     let mut old = configuration(0);
     old.teams[0].quota = None;
     old.standing[0].spec.as_mut().unwrap().each = Some(size(9));
     assert_eq!(inventory::check(&old), []);
-    let problems = shown(change::apply(&old, &[op(Op::UpsertWorker(worker(0)))]));
+    let problems = problem_texts(change::apply(&old, &[op(Op::UpsertWorker(worker(0)))]));
     assert!(problems[0].ends_with("fits no worker"), "{problems:?}");
 }
 
-/// Applies random steps, good and bad, and checks everything after each as the oracle.
+/// Applies random valid and invalid changes and compares the result of each with a full check as the oracle.
 #[test]
-fn checking_what_changed_gives_the_verdict_of_checking_everything() {
+fn incremental_and_full_checks_agree() {
     lilacpass_fuzz::check_lists::<[u8; 3]>(1_000, 0..=MAX_STEPS, |steps| {
         let mut current = configuration(steps.len() as u64 % 4);
         current.teams[0].quota.take_if(|_| current.workers.is_empty());
         for steps in steps.chunks(3) {
-            let ops: Vec<_> = steps.iter().map(|step| op(some_step(&current, *step))).collect();
+            let ops: Vec<_> = steps.iter().map(|step| op(random_step(&current, *step))).collect();
             let mut new = current.clone();
             match change::apply_to(&mut new, &ops) {
                 Ok(()) => assert_eq!(inventory::check(&new), [], "{ops:?}"),
-                Err(_) => assert_eq!(new, current, "refused and not undone: {ops:?}"),
+                Err(_) => assert_eq!(new, current, "rejected but not rolled back: {ops:?}"),
             }
             current = new;
         }
     });
 }
 
-fn some_step(current: &v1::Configuration, [kind, which, how]: [u8; 3]) -> Op {
+/// Derives a step from random bytes: its kind, the entry that it refers to, and a value.
+fn random_step(current: &v1::Configuration, [kind, which, value]: [u8; 3]) -> Op {
     let n = u64::from(which % 5);
-    let cores = u64::from(how % 20);
+    let cores = u64::from(value % 20);
     match kind % 12 {
         0 => Op::UpsertWorker(v1::WorkerSpec { cpu_milli: cores * 1_000, ..worker(n) }),
         1 => Op::UpsertWorker(v1::WorkerSpec {
-            address: worker(u64::from(how % 5)).address,
+            address: worker(u64::from(value % 5)).address,
             ..worker(n)
         }),
         2 => Op::RemoveWorker(worker(n).name),
-        3 => drain(&worker(n).name, how % 2 == 0),
+        3 => drain(&worker(n).name, value % 2 == 0),
         4 => Op::UpsertTeam(team(["shops", "desks"][usize::from(which % 2)], cores * 2)),
         5 => Op::RemoveTeam(["shops", "desks"][usize::from(which % 2)].to_owned()),
         6 => Op::RemoveService("audit".to_owned()),
@@ -129,20 +131,20 @@
         8 => {
             let mut work = standing(["watcher", "other"][usize::from(which % 2)]);
             let spec = work.spec.as_mut().unwrap();
-            spec.tasks = u32::from(how % 6);
-            spec.each = (how % 4 > 0).then(|| size(cores));
+            spec.tasks = u32::from(value % 6);
+            spec.each = (value % 4 > 0).then(|| size(cores));
             Op::UpsertStanding(work)
         }
         9 => Op::RemoveStanding("watcher".to_owned()),
         10 => Op::RemoveDataCentre("hal-a".to_owned()),
         _ => Op::SetRules(v1::Rules {
-            max_attempts: u32::from(how) * 5,
+            max_attempts: u32::from(value) * 5,
             ..current.rules.clone().unwrap_or_default()
         }),
     }
 }
 
-/// The entries of each section by name, since a difference keeps no order.
+/// Sorts the entries of each section by name, since applying a diff does not preserve their order.
 fn sorted(mut configuration: v1::Configuration) -> v1::Configuration {
     configuration.data_centres.sort_by(|a, b| a.name.cmp(&b.name));
     configuration.workers.sort_by(|a, b| a.name.cmp(&b.name));
@@ -153,14 +155,14 @@
     configuration
 }
 
-/// Walks two ways from one start and goes over from the one end to the other.
+/// Applies two random lists of changes to the same configuration, then checks the diff between the two results.
 #[test]
-fn the_difference_of_two_configurations_leads_from_one_to_the_other() {
+fn applying_a_diff_yields_the_new_configuration() {
     lilacpass_fuzz::check_lists::<[u8; 3]>(1_000, 0..=MAX_STEPS, |steps| {
         let (one, other) = steps.split_at(steps.len() / 2);
-        let [from, to] = [one, other].map(|walk| {
-            walk.iter().fold(configuration(3), |at, step| {
-                change::apply(&at, &[op(some_step(&at, *step))]).unwrap_or(at)
+        let [from, to] = [one, other].map(|list| {
+            list.iter().fold(configuration(3), |at, step| {
+                change::apply(&at, &[op(random_step(&at, *step))]).unwrap_or(at)
             })
         });
         let steps = change::diff(&from, &to);
@@ -173,16 +175,16 @@
 }
 
 #[test]
-fn a_difference_is_told_in_steps_without_hashes() {
+fn a_diff_is_described_step_by_step_without_hashes() {
     let old = configuration(2);
     let mut new = old.clone();
     new.workers[0].draining = true;
     new.workers.remove(1);
     new.tokens.push(common::token("carl", "read-only", ""));
     new.rules.as_mut().unwrap().max_attempts = 4;
-    let told: Vec<_> = change::diff(&old, &new).iter().map(change::describe_op).collect();
+    let descriptions: Vec<_> = change::diff(&old, &new).iter().map(change::describe_op).collect();
     assert_eq!(
-        told,
+        descriptions,
         ["drain worker w0", "remove worker w1", "set token carl with role read-only", "set rules"]
     );
     let first = change::diff(&v1::Configuration::default(), &new);
@@ -190,7 +192,7 @@
 }
 
 #[test]
-fn the_effects_name_tasks_that_move_and_quotas_that_bind() {
+fn effects_list_moving_tasks_and_limiting_quotas() {
     let mut old = configuration(4);
     old.teams.push(team("desks", 4));
     let load = Load {
@@ -200,24 +202,27 @@
             allocated: Resources::new(3_000, 12_288, 0, 0),
         }],
     };
-    let told = |spoil: fn(&mut v1::Configuration)| {
+    let effects_of = |modify: fn(&mut v1::Configuration)| {
         let mut new = old.clone();
-        spoil(&mut new);
+        modify(&mut new);
         change::effects(&old, &new, &load)
     };
-    let drained = told(|c| c.workers[0].draining = true);
+    let drained = effects_of(|c| c.workers[0].draining = true);
     assert_eq!(drained, ["worker w0 takes no new work; 3 tasks end there or move"]);
-    let gone = told(|c| drop(c.workers.remove(0)));
-    assert_eq!(gone[0], "worker w0 goes with 3 tasks running: drain it first");
-    assert!(gone[1].starts_with("the cell has 3 workers"), "{gone:?}");
-    let moved = told(|c| c.workers[0].address = "192.0.8.1:1".to_owned());
+    let removed = effects_of(|c| drop(c.workers.remove(0)));
+    assert_eq!(removed[0], "worker w0 goes with 3 tasks running: drain it first");
+    assert!(removed[1].starts_with("the cell has 3 workers"), "{removed:?}");
+    let moved = effects_of(|c| c.workers[0].address = "192.0.8.1:1".to_owned());
     assert!(moved[0].contains("another machine"), "{moved:?}");
-    let bound = told(|c| c.teams[0] = team("shops", 2));
-    assert!(bound[0].contains("its quota binds") && bound[0].ends_with("is borrowed"), "{bound:?}");
-    let promised = told(|c| c.teams[1] = team("desks", 32));
-    assert!(promised[1].starts_with("quotas promise 36000m"), "{promised:?}");
-    let ruled = told(|c| c.rules.as_mut().unwrap().max_attempts = 9);
-    assert_eq!(ruled, ["rules change: max_attempts from 3 to 9"]);
-    assert_eq!(told(|c| c.standing.clear()), ["standing work watcher stops"]);
-    assert_eq!(told(|_| ()), Vec::<String>::new());
+    let limited = effects_of(|c| c.teams[0] = team("shops", 2));
+    assert!(
+        limited[0].contains("its quota binds") && limited[0].ends_with("is borrowed"),
+        "{limited:?}"
+    );
+    let overcommitted = effects_of(|c| c.teams[1] = team("desks", 32));
+    assert!(overcommitted[1].starts_with("quotas promise 36000m"), "{overcommitted:?}");
+    let changed_rules = effects_of(|c| c.rules.as_mut().unwrap().max_attempts = 9);
+    assert_eq!(changed_rules, ["rules change: max_attempts from 3 to 9"]);
+    assert_eq!(effects_of(|c| c.standing.clear()), ["standing work watcher stops"]);
+    assert_eq!(effects_of(|_| ()), Vec::<String>::new());
 }
--- a/lilacpass-config/tests/common/mod.rs
+++ b/lilacpass-config/tests/common/mod.rs
@@ -1,17 +1,17 @@
-//! Sample entries for the tests.
+//! Sample configuration entries for the tests.
 #![allow(dead_code, unreachable_pub)]
 
 use lilacpass_schema::v1::{self, config_op::Op};
 
-/// An argon2id hash in its form; of no token that anyone knows.
+/// A well-formed Argon2id hash that belongs to no token.
 pub const HASH: &str = "$argon2id$v=19$m=19456,t=2,p=1$YWJjZGVmZ2hpamtsbW5vcA$bVRfpoVXWlW1zUmIvdSiTTQpzIZPmLyGrZVCfPWj+WE";
 
-/// A task of `cores` cores with 4 GiB a core and one slot.
+/// Size of a task with the given number of cores, 4 GiB of memory per core and one slot.
 pub fn size(cores: u64) -> v1::Amount {
     v1::Amount { cpu_milli: cores * 1_000, memory_mib: cores * 4_096, accelerators: 0, slots: 1 }
 }
 
-/// Worker number `n`, with 8 cores.
+/// Returns worker number `n`, which has 8 cores.
 pub fn worker(n: u64) -> v1::WorkerSpec {
     v1::WorkerSpec {
         name: format!("w{n}"),
@@ -27,7 +27,7 @@
     }
 }
 
-/// A watcher of team `shops`.
+/// Returns standing work of team `shops` with one task of one core.
 pub fn standing(name: &str) -> v1::StandingWork {
     v1::StandingWork {
         name: name.to_owned(),
@@ -44,6 +44,7 @@
     }
 }
 
+/// Returns a team with a quota of the given number of cores.
 pub fn team(name: &str, cores: u64) -> v1::Team {
     v1::Team {
         name: name.to_owned(),
@@ -53,6 +54,7 @@
     }
 }
 
+/// Returns a token entry that does not expire.
 pub fn token(name: &str, role: &str, team: &str) -> v1::AccessToken {
     v1::AccessToken {
         name: name.to_owned(),
@@ -63,7 +65,7 @@
     }
 }
 
-/// A configuration with something in each section and `workers` workers.
+/// Returns a valid configuration with at least one entry in each section and the given number of workers.
 pub fn configuration(workers: u64) -> v1::Configuration {
     v1::Configuration {
         data_centres: vec![v1::DataCentre { name: "hal-a".into(), region: "nl-midden".into() }],
@@ -92,11 +94,12 @@
     }
 }
 
+/// Wraps a step in its message.
 pub fn op(op: Op) -> v1::ConfigOp {
     v1::ConfigOp { op: Some(op) }
 }
 
-/// A change of one step.
+/// Returns a change with one step.
 pub fn change(base: u64, actor: &str, step: Op) -> v1::ConfigChange {
     v1::ConfigChange {
         base_revision: base,
@@ -106,6 +109,7 @@
     }
 }
 
+/// Returns a step that starts or ends the drain of a worker.
 pub fn drain(name: &str, draining: bool) -> Op {
     Op::DrainWorker(v1::DrainWorker { worker: name.to_owned(), draining })
 }
--- a/lilacpass-config/tests/fold.rs
+++ b/lilacpass-config/tests/fold.rs
@@ -1,4 +1,4 @@
-//! The configuration as the fold of its stream: races, repeats, peers, snapshots.
+//! Folding the configuration stream: concurrent changes, duplicates, adoption from peers, and snapshots.
 
 mod common;
 
@@ -9,7 +9,7 @@
 
 const FIRST: Offset = Offset(0);
 
-/// A member that has read the first inventory, at offset 0.
+/// Returns a member that has read the initial inventory at offset 0.
 fn started() -> ConfigFold {
     let mut fold = ConfigFold::new();
     let first = change(0, "anna", Op::Replace(configuration(3)));
@@ -26,10 +26,10 @@
     assert_eq!(fold.position(), Offset(1));
 }
 
-/// Two operators change the same revision at once. Both believe that theirs is in force. Cause:
-/// both appends reach the log; only their order there can tell which one counts.
+/// Two operators change the same revision concurrently, and both appends reach the log. Guards against both being
+/// told that their change took effect: only the first one in log order does.
 #[test]
-fn the_first_of_two_racing_changes_wins_and_the_other_is_told() {
+fn the_first_of_two_concurrent_changes_wins_and_the_other_conflicts() {
     let mut fold = started();
     let won = fold.fold(Offset(4), &change(1, "anna", drain("w0", true)));
     assert_eq!(won, ChangeOutcome::Accepted(Revision(5)));
@@ -42,8 +42,8 @@
     assert_eq!(fold.changes().map(|c| c.revision).collect::<Vec<_>>(), [Revision(5), Revision(1)]);
 }
 
-/// An operator's append is answered too late and sent again. The change must not be made twice.
-/// Cause: the first append took effect though its answer was lost.
+/// Guards against applying a change twice. This can happen if an append succeeds but its response is lost or late, so
+/// that the append is repeated.
 #[test]
 fn a_change_that_is_in_the_log_twice_takes_effect_once() {
     let mut fold = started();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_record_published_directly_is_checked_as_strictly() {
+fn a_record_published_directly_is_checked_like_any_other() {
     let mut fold = started();
     let bad = change(1, "", Op::RemoveDataCentre("hal-a".into()));
     let ChangeOutcome::Invalid(problems) = fold.fold(Offset(1), &bad) else { panic!("accepted") };
@@ -66,10 +66,10 @@
     assert_eq!(**fold.configuration(), configuration(3));
 }
 
-/// A member that is cut off from the log gets the configuration from a peer, and reads the log
-/// later. What it adopted must not be undone by the older records that it then reads.
+/// A member that cannot reach the log adopts the configuration of a peer and reads the log later. Guards against the
+/// older records in the log reverting the adopted configuration.
 #[test]
-fn a_member_that_adopts_and_then_reads_ends_as_one_that_only_reads() {
+fn adopting_and_then_reading_gives_the_same_state_as_reading() {
     let records = [
         change(1, "anna", drain("w0", true)),
         change(1, "bert", drain("w1", true)),
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn an_older_or_broken_configuration_of_a_peer_is_not_taken() {
+fn an_older_or_invalid_configuration_of_a_peer_is_not_adopted() {
     let mut fold = started();
     fold.fold(Offset(1), &change(1, "anna", drain("w0", true)));
     let same = v1::ConfigSnapshot { revision: 2, configuration: Some(configuration(1)) };
@@ -109,8 +109,8 @@
     assert_eq!(fold.revision(), Revision(2));
 }
 
-/// An entry is replaced long after the first records of the stream were dropped. It must start
-/// from the snapshot and the records behind it.
+/// A new entry instance starts after the log has dropped the first records of the stream. It must start from the
+/// snapshot and the records after it.
 #[test]
 fn a_new_member_starts_from_a_snapshot_and_the_tail() {
     let mut old = started();
@@ -123,7 +123,7 @@
     };
     let mut new = ConfigFold::new();
     assert!(new.restore(&snapshot));
-    assert!(new.restore(&snapshot), "what it covers is held already");
+    assert!(new.restore(&snapshot), "everything that it covers was read already");
     assert_eq!((new.revision(), new.position()), (Revision(2), Offset(2)));
     new.skip(Offset(2));
     let record = change(2, "bert", drain("w1", true));
@@ -135,8 +135,8 @@
     assert_eq!((new.revision(), new.position()), (Revision(4), Offset(4)));
 }
 
-/// An operator's change is read by a peer first; this member adopts it before it reads it. The
-/// operator must not be told that the change lost. Cause: the record then lies below what is held.
+/// Guards against telling an operator that a change was rejected although it was accepted. A peer may read the change
+/// first; if this member adopts the peer's configuration, the record then lies before its own position.
 #[test]
 fn a_change_that_was_adopted_before_it_was_read_is_known_as_accepted() {
     let mut peer = started();
@@ -147,7 +147,7 @@
     let read = member.fold(Offset(2), &change(2, "bert", drain("w1", true)));
     assert_eq!(read, ChangeOutcome::Duplicate);
     assert!(member.was_accepted(Offset(2)) && member.was_accepted(FIRST));
-    assert!(!member.was_accepted(Offset(1)), "not known here");
+    assert!(!member.was_accepted(Offset(1)), "not known to this member");
     assert!(peer.was_accepted(Offset(1)));
     assert_eq!(ConfigFold::new().covers(), None);
     assert_eq!(member.covers(), Some(Offset(3)));
@@ -155,11 +155,11 @@
     assert_eq!(member.covers(), None);
 }
 
-/// A new entry gets the newest configuration from a peer before it finds an older snapshot in the
-/// log. It must go on reading behind that snapshot and not search for a newer one, or it takes no
-/// changes for as long as nobody writes one.
+/// A new entry instance adopts the newest configuration of a peer before it finds an older snapshot in the log. It
+/// must continue after that snapshot instead of searching for a newer one; otherwise it would accept no changes until
+/// a member writes one.
 #[test]
-fn a_member_that_is_ahead_of_a_snapshot_goes_on_behind_it() {
+fn a_member_that_is_ahead_of_a_snapshot_continues_after_it() {
     let mut peer = started();
     let snapshot = v1::Snapshot {
         covers_offset: peer.position().0,
@@ -178,11 +178,11 @@
     assert!(!new.restore(&snapshot), "it does not close the gap");
 }
 
-/// A member pauses until the log has dropped records that it did not read, one of them an
-/// accepted change. It then reads a change with the base that it still holds, which everybody
-/// else refused. Without the guard it would accept that one and differ from then on.
+/// A member pauses until the log has dropped records that it did not read, including an accepted change. It then reads
+/// a change that is based on its own outdated revision and that all other members rejected. Guards against the member
+/// accepting this change and diverging from the others.
 #[test]
-fn a_member_that_missed_records_decides_nothing_until_it_caught_up() {
+fn a_member_that_missed_records_decides_nothing_until_it_catches_up() {
     let missed = change(1, "anna", drain("w0", true));
     let stale = change(1, "bert", drain("w1", true));
     let mut reader = started();
--- a/lilacpass-config/tests/inventory.rs
+++ b/lilacpass-config/tests/inventory.rs
@@ -1,4 +1,4 @@
-//! The configuration as TOML: round trips, lines, and each check.
+//! The configuration in TOML: round trips, positions of problems, and all checks.
 
 mod common;
 
@@ -6,11 +6,11 @@
 use lilacpass_config::inventory;
 use lilacpass_schema::v1;
 
-/// Shown problems of the sample configuration after `spoil`.
-fn refused(spoil: impl FnOnce(&mut v1::Configuration)) -> Vec<String> {
-    let mut spoilt = configuration(4);
-    spoil(&mut spoilt);
-    inventory::check(&spoilt).iter().map(ToString::to_string).collect()
+/// Returns the problems of the sample configuration after modifying it with `modify`.
+fn problems_after(modify: impl FnOnce(&mut v1::Configuration)) -> Vec<String> {
+    let mut modified = configuration(4);
+    modify(&mut modified);
+    inventory::check(&modified).iter().map(ToString::to_string).collect()
 }
 
 #[test]
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn standing_work_needs_little_text() {
+fn defaults_of_standing_work_may_be_omitted() {
     let mut text = inventory::to_toml(&configuration(1));
     for line in ["class = \"standing\"\n", "tasks = 1\n", "standing = true\n"] {
         assert!(text.contains(line));
@@ -67,33 +67,34 @@
 }
 
 #[test]
-fn names_that_stand_twice_are_refused() {
-    let twice =
-        refused(|c| c.workers.push(v1::WorkerSpec { address: "192.0.9.9:1".into(), ..worker(0) }));
-    assert_eq!(twice, ["workers[w0].name = w0: is there already"]);
+fn duplicate_names_are_refused() {
+    let duplicate = problems_after(|c| {
+        c.workers.push(v1::WorkerSpec { address: "192.0.9.9:1".into(), ..worker(0) });
+    });
+    assert_eq!(duplicate, ["workers[w0].name = w0: is there already"]);
     assert_eq!(
-        refused(|c| c.teams.push(team("shops", 1))),
+        problems_after(|c| c.teams.push(team("shops", 1))),
         ["teams[shops].name = shops: is there already"]
     );
     assert_eq!(
-        refused(|c| c.standing.push(standing("watcher"))),
+        problems_after(|c| c.standing.push(standing("watcher"))),
         ["standing[watcher].name = watcher: is there already"]
     );
-    assert_eq!(refused(|c| c.tokens.push(token("anna", "operator", ""))).len(), 1);
-    assert_eq!(refused(|c| c.data_centres.push(c.data_centres[0].clone())).len(), 1);
-    assert_eq!(refused(|c| c.services.push(c.services[0].clone())).len(), 1);
+    assert_eq!(problems_after(|c| c.tokens.push(token("anna", "operator", ""))).len(), 1);
+    assert_eq!(problems_after(|c| c.data_centres.push(c.data_centres[0].clone())).len(), 1);
+    assert_eq!(problems_after(|c| c.services.push(c.services[0].clone())).len(), 1);
 }
 
-/// Two workers entered with one address: starts for both reach one machine, which then runs
-/// twice what it has. Cause: a row copied in the register and the address not changed.
+/// Guards against two workers with the same address, for example because a row of the register was copied without
+/// changing the address. Tasks of both would start on one machine and use twice its capacity.
 #[test]
 fn two_workers_behind_one_address_are_refused() {
-    let shown = refused(|c| c.workers[1].address = worker(0).address);
+    let shown = problems_after(|c| c.workers[1].address = worker(0).address);
     assert_eq!(shown, ["workers[w1].address = 192.0.0.1:7100: is the address of `w0` too"]);
 }
 
 #[test]
-fn workers_that_cannot_be_reached_or_hold_nothing_are_refused() {
+fn workers_that_are_unreachable_or_have_no_capacity_are_refused() {
     for address in [
         "",
         "hal-a:7100",
@@ -104,24 +105,24 @@
         "0.0.0.0:7100",
         "224.0.0.1:7100",
     ] {
-        let shown = refused(|c| c.workers[0].address = address.to_owned());
+        let shown = problems_after(|c| c.workers[0].address = address.to_owned());
         assert_eq!(shown.len(), 1, "{address}");
         assert!(shown[0].contains("must be IP:port of one worker"), "{}", shown[0]);
     }
-    let zero = refused(|c| {
+    let zero = problems_after(|c| {
         c.workers[3] =
             v1::WorkerSpec { cpu_milli: 0, memory_mib: 0, slots: 0, connections: 0, ..worker(3) };
     });
     assert_eq!(zero.len(), 4);
     assert_eq!(zero[1], "workers[w3].memory_mib = 0: must be 1 to 1073741824 MiB");
-    assert!(refused(|c| c.workers[0].rack = String::new())[0].contains("workers[w0].rack"));
-    assert!(refused(|c| c.workers[0].name = "a b".into())[0].contains("must be a name of"));
+    assert!(problems_after(|c| c.workers[0].rack = String::new())[0].contains("workers[w0].rack"));
+    assert!(problems_after(|c| c.workers[0].name = "a b".into())[0].contains("must be a name of"));
 }
 
 #[test]
-fn references_to_nothing_are_refused() {
+fn dangling_references_are_refused() {
     assert_eq!(
-        refused(|c| c.teams.clear()),
+        problems_after(|c| c.teams.clear()),
         [
             "standing[watcher].spec.team = \"shops\": names no known team",
             "tokens[shop-site].team = \"shops\": names no known team",
@@ -129,11 +130,12 @@
         ]
     );
     assert_eq!(
-        refused(|c| c.services.clear()),
+        problems_after(|c| c.services.clear()),
         ["standing[watcher].spec.service = \"audit\": names no known service"]
     );
-    assert_eq!(refused(|c| c.data_centres.clear()).len(), 4);
-    let preferred = refused(|c| c.standing[0].spec.as_mut().unwrap().data_centre = "hal-b".into());
+    assert_eq!(problems_after(|c| c.data_centres.clear()).len(), 4);
+    let preferred =
+        problems_after(|c| c.standing[0].spec.as_mut().unwrap().data_centre = "hal-b".into());
     assert_eq!(
         preferred,
         ["standing[watcher].spec.data_centre = \"hal-b\": names no known data centre"]
@@ -141,23 +143,27 @@
 }
 
 #[test]
-fn what_could_never_fit_is_refused() {
+fn sizes_that_can_never_fit_are_refused() {
     let spec = |c: &mut v1::Configuration, tasks, cores| {
         let spec = c.standing[0].spec.as_mut().unwrap();
         (spec.tasks, spec.each) = (tasks, Some(size(cores)));
     };
-    assert!(refused(|c| spec(c, 1, 9))[0].contains("standing[watcher].spec.each"));
-    assert!(refused(|c| spec(c, 1, 9))[0].ends_with("fits no worker"));
-    assert_eq!(refused(|c| spec(c, 4, 8)), Vec::<String>::new());
+    assert!(problems_after(|c| spec(c, 1, 9))[0].contains("standing[watcher].spec.each"));
+    assert!(problems_after(|c| spec(c, 1, 9))[0].ends_with("fits no worker"));
+    assert_eq!(problems_after(|c| spec(c, 4, 8)), Vec::<String>::new());
     assert!(
-        refused(|c| spec(c, 5, 8))[0]
+        problems_after(|c| spec(c, 5, 8))[0]
             .ends_with("fits 4 times into the whole cell, 5 tasks are asked for")
     );
     assert!(
-        refused(|c| c.teams[0] = team("shops", 33))[0].contains("is more than the whole cell has")
+        problems_after(|c| c.teams[0] = team("shops", 33))[0]
+            .contains("is more than the whole cell has")
+    );
+    assert!(
+        problems_after(|c| c.services[0].default_each = Some(size(9)))[0]
+            .contains("fits no worker")
     );
-    assert!(refused(|c| c.services[0].default_each = Some(size(9)))[0].contains("fits no worker"));
-    assert!(refused(|c| c.services[0].default_each = None).len() == 3);
+    assert!(problems_after(|c| c.services[0].default_each = None).len() == 3);
 }
 
 #[test]
@@ -165,22 +171,22 @@
     let spec =
         |c: &mut v1::Configuration| c.standing[0].spec.as_mut().unwrap().class = "soon".into();
     assert_eq!(
-        refused(spec),
+        problems_after(spec),
         ["standing[watcher].spec.class = \"soon\": must be one of urgent, standing, batch"]
     );
-    let role = refused(|c| c.tokens[0].role = "root".into());
+    let role = problems_after(|c| c.tokens[0].role = "root".into());
     assert_eq!(role, ["tokens[anna].role = \"root\": must be one of operator, team, read-only"]);
-    let team_of_operator = refused(|c| c.tokens[0].team = "shops".into());
+    let team_of_operator = problems_after(|c| c.tokens[0].team = "shops".into());
     assert_eq!(team_of_operator, ["tokens[anna].team = shops: must be empty with role operator"]);
-    let dear = common::HASH.replace("m=19456", "m=4194304");
+    let expensive = common::HASH.replace("m=19456", "m=4194304");
     for hash in
-        ["", "secret", "$argon2id$v=19$m=19456,t=2,p=1$YWJjZGVmZ2hpamtsbW5vcA", dear.as_str()]
+        ["", "secret", "$argon2id$v=19$m=19456,t=2,p=1$YWJjZGVmZ2hpamtsbW5vcA", expensive.as_str()]
     {
-        let shown = refused(|c| c.tokens[0].hash = hash.to_owned());
+        let shown = problems_after(|c| c.tokens[0].hash = hash.to_owned());
         assert_eq!(shown.len(), 1, "{hash}");
         assert!(shown[0].starts_with("tokens[anna].hash: must be an $argon2id$"), "{}", shown[0]);
     }
-    let rules = refused(|c| {
+    let rules = problems_after(|c| {
         let rules = c.rules.as_mut().unwrap();
         rules.urgent_reserve_permille = 1_001;
         rules.accounts.push(rules.accounts[0].clone());
--- a/lilacpass-config/tests/register.rs
+++ b/lilacpass-config/tests/register.rs
@@ -1,11 +1,12 @@
-//! Workers from an asset register's CSV.
+//! Importing workers from the CSV export of an asset register.
 
 use lilacpass_config::inventory;
 
 const HEADER: &str =
     "name,data_centre,rack,address,cores,memory_gib,accelerators,slots,connections";
 
-fn shown(text: &str) -> Vec<String> {
+/// Returns the problems that parsing the text reports.
+fn problems_in(text: &str) -> Vec<String> {
     inventory::parse_csv(text).expect_err("refused").iter().map(ToString::to_string).collect()
 }
 
@@ -19,7 +20,7 @@
     let text = "slots,connections,name,data_centre,rack,address,cores,memory_gib,accelerators\n\
                 8, 64, w1, hal-a, r1,\"192.0.2.1:7100\", 64, 256, 2\n";
     assert_eq!(inventory::parse_csv(text).unwrap(), workers);
-    // Spreadsheets write a byte order mark and other line ends.
+    // Spreadsheet programs write a byte order mark and CRLF line endings.
     let exported = format!("\u{feff}{}", text.replace('\n', "\r\n"));
     assert_eq!(inventory::parse_csv(&exported).unwrap(), workers);
 }
@@ -27,11 +28,11 @@
 #[test]
 fn a_bad_header_is_refused_with_the_nearest_column() {
     assert_eq!(
-        shown(&HEADER.replace("cores", "core")),
+        problems_in(&HEADER.replace("cores", "core")),
         ["line 1: core: unknown column; did you mean `cores`?", "line 1: cores: column is missing"]
     );
-    assert_eq!(shown("").len(), 9);
-    assert_eq!(shown(&format!("{HEADER},name")), ["line 1: name: stands twice"]);
+    assert_eq!(problems_in("").len(), 9);
+    assert_eq!(problems_in(&format!("{HEADER},name")), ["line 1: name: stands twice"]);
 }
 
 #[test]
@@ -45,7 +46,7 @@
          w5,hal a,r1,192.0.2.5:7100,64,256,2,8,0\n"
     );
     assert_eq!(
-        shown(&text),
+        problems_in(&text),
         [
             "line 2: cores = \"many\": must be a whole number",
             "line 3: workers[w1].name = w1: is there already",
--- a/lilacpass-config/tests/samples.rs
+++ b/lilacpass-config/tests/samples.rs
@@ -1,12 +1,13 @@
-//! The sample files, and arbitrary text.
+//! Parsing the sample files, mangled samples and arbitrary text.
 
 use lilacpass_config::{inventory, settings};
 
-/// Bytes of the longest arbitrary text.
+/// Maximum length of an arbitrary text, in bytes.
 const MAX_BYTES: usize = 200;
-/// Lines of the longest mangled sample.
+/// Maximum number of lines in a mangled sample.
 const MAX_LINES: usize = 200;
 
+/// Reads a file of the `examples` directory.
 fn sample(name: &str) -> String {
     let path = format!("{}/../examples/{name}.toml", env!("CARGO_MANIFEST_DIR"));
     std::fs::read_to_string(path).expect("sample file")
@@ -50,7 +51,7 @@
     });
 }
 
-/// Cuts and mixes lines of good files, which reaches deeper than arbitrary text.
+/// Mixes truncated lines of valid files, which reaches more code than arbitrary text does.
 #[test]
 fn mangled_samples_never_panic_and_show_a_line() {
     let texts = ["vindbaar-entry", "swanfield-entry", "vindbaar"].map(sample);
--- a/lilacpass-config/tests/settings.rs
+++ b/lilacpass-config/tests/settings.rs
@@ -1,11 +1,12 @@
-//! Settings: defaults, ranges, lines of what is refused.
+//! Parsing settings: defaults, ranges, relations, and positions of problems.
 
 use std::time::Duration;
 
 use lilacpass_config::settings;
 use lilacpass_schema::v1;
 
-const LEAST: &str = r#"
+/// The smallest valid settings file. It ends within the section `platform`.
+const MINIMAL: &str = r#"
 [instance]
 name = "entry-1"
 data_centre = "hal-a"
@@ -16,18 +17,23 @@
 instance_list_addresses = ["127.0.0.1:7002"]
 "#;
 
-/// The lines of all problems with `LEAST` and `extra` behind it.
-fn refused(extra: &str) -> Vec<String> {
-    refused_text(&format!("{LEAST}{extra}"))
+/// Returns the problems of `MINIMAL` with `extra` appended.
+fn problems_with(extra: &str) -> Vec<String> {
+    problems_in(&format!("{MINIMAL}{extra}"))
 }
 
-fn refused_text(text: &str) -> Vec<String> {
-    settings::parse(text).expect_err("refused").iter().map(ToString::to_string).collect()
+/// Returns the problems of a whole settings file.
+fn problems_in(text: &str) -> Vec<String> {
+    settings::parse(text)
+        .expect_err("the text has problems")
+        .iter()
+        .map(ToString::to_string)
+        .collect()
 }
 
 #[test]
-fn what_is_absent_or_zero_takes_its_default() {
-    let settings = settings::parse(&format!("{LEAST}[holding]\nlease_ms = 0\n")).unwrap();
+fn absent_and_zero_settings_take_their_defaults() {
+    let settings = settings::parse(&format!("{MINIMAL}[holding]\nlease_ms = 0\n")).unwrap();
     assert_eq!(settings.holding.lease, Duration::from_millis(2_500));
     assert_eq!(settings.holding.clock_drift_ppm, 1_000);
     assert_eq!(settings.platform.stream_prefix, "lilacpass");
@@ -39,7 +45,7 @@
 
 #[test]
 fn a_number_out_of_range_is_refused_with_line_unit_and_range() {
-    let problems = settings::parse(&format!("{LEAST}[holding]\nlease_ms = 50\n")).unwrap_err();
+    let problems = settings::parse(&format!("{MINIMAL}[holding]\nlease_ms = 50\n")).unwrap_err();
     let first = &problems[0];
     assert_eq!(first.to_string(), "line 11: holding.lease_ms = 50: must be 500 to 60000 ms");
     assert_eq!((first.line, first.column), (11, 12));
@@ -57,13 +63,13 @@
         let (min, max): (u64, u64) = (min.parse().unwrap(), max.parse().unwrap());
         let outside = [min.checked_sub(1).filter(|n| *n > 0), Some(max + 1)];
         for value in outside.into_iter().flatten() {
-            // `LEAST` ends within the section of the platform.
+            // `MINIMAL` ends within the section `platform`, which must not be opened again.
             let header =
                 if section == "platform" { String::new() } else { format!("[{section}]\n") };
-            let text = format!("{LEAST}{header}{key} = {value}\n");
-            let shown = refused_text(&text).join("\n");
-            let wanted = format!("{} = {value}: must be {} {}", doc.path, doc.allowed, doc.unit);
-            assert!(shown.contains(wanted.trim_end()), "{wanted}\n--\n{shown}");
+            let text = format!("{MINIMAL}{header}{key} = {value}\n");
+            let problems = problems_in(&text).join("\n");
+            let expected = format!("{} = {value}: must be {} {}", doc.path, doc.allowed, doc.unit);
+            assert!(problems.contains(expected.trim_end()), "{expected}\n--\n{problems}");
         }
     }
 }
@@ -71,21 +77,21 @@
 #[test]
 fn unknown_keys_are_refused_with_the_nearest_known_one() {
     assert_eq!(
-        refused("[holding]\nlease = 900\n[jobz]\n"),
+        problems_with("[holding]\nlease = 900\n[jobz]\n"),
         [
             "line 11: holding.lease: unknown key; did you mean `lease_ms`?",
             "line 12: jobz: unknown key; did you mean `jobs`?"
         ]
     );
     assert_eq!(
-        refused("[holding]\nleese = 900\nrenew_ms = 1\n"),
+        problems_with("[holding]\nleese = 900\nrenew_ms = 1\n"),
         [
             "line 11: holding.leese: unknown key; did you mean `lease_ms`?",
             "line 12: holding.renew_ms = 1: must be 50 to 30000 ms"
         ]
     );
     assert_eq!(
-        refused("[holding]\nzzzzzzzzzz = 1\n"),
+        problems_with("[holding]\nzzzzzzzzzz = 1\n"),
         ["line 11: holding.zzzzzzzzzz: unknown key"]
     );
 }
@@ -93,14 +99,14 @@
 #[test]
 fn wrong_types_are_refused_all_at_once() {
     assert_eq!(
-        refused("[holding]\nlease_ms = \"1s\"\nrenew_ms = 1.5\n[peers]\nsilent_ms = -1\n"),
+        problems_with("[holding]\nlease_ms = \"1s\"\nrenew_ms = 1.5\n[peers]\nsilent_ms = -1\n"),
         [
             "line 11: holding.lease_ms: must be a whole number, is string",
             "line 12: holding.renew_ms: must be a whole number, is float",
             "line 14: peers.silent_ms = -1: must be 0 to 9223372036854775807"
         ]
     );
-    assert_eq!(refused("[holding\n").len(), 1);
+    assert_eq!(problems_with("[holding\n").len(), 1);
 }
 
 #[test]
@@ -114,24 +120,25 @@
         ("[jobs]\nreport_wait_ms = 5000\n", "report_wait_ms = 5000: must be less than 5000 ms"),
         ("[holding]\nlongest_pause_ms = 2500\n", "lease_ms = 2500: must be less than 2500 ms"),
     ];
-    for (extra, wanted) in cases {
-        let shown = refused(extra).join("\n");
-        assert!(shown.contains(wanted), "{wanted}\n--\n{shown}");
+    for (extra, expected) in cases {
+        let problems = problems_with(extra).join("\n");
+        assert!(problems.contains(expected), "{expected}\n--\n{problems}");
     }
 }
 
 #[test]
 fn a_peer_key_is_needed_off_loopback_and_never_shown() {
-    let open = LEAST.replace("peer_address = \"127.0.0.1:0\"", "peer_address = \"192.0.2.1:7000\"");
+    let without_key =
+        MINIMAL.replace("peer_address = \"127.0.0.1:0\"", "peer_address = \"192.0.2.1:7000\"");
     assert_eq!(
-        refused_text(&open),
+        problems_in(&without_key),
         ["line 2: instance.peer_key: is required where peer_address is not on loopback"]
     );
-    let keyed =
-        |key: &str| open.replace("[platform]", &format!("peer_key = \"{key}\"\n[platform]"));
-    let short = refused_text(&keyed("tooshort")).join("\n");
+    let with_key =
+        |key: &str| without_key.replace("[platform]", &format!("peer_key = \"{key}\"\n[platform]"));
+    let short = problems_in(&with_key("tooshort")).join("\n");
     assert_eq!(short, "line 7: instance.peer_key: must be 16 to 256 characters");
-    let settings = settings::parse(&keyed("0123456789abcdef")).unwrap();
+    let settings = settings::parse(&with_key("0123456789abcdef")).unwrap();
     assert!(!format!("{settings:?}").contains("0123456789abcdef"));
     let key = settings.instance.peer_key.unwrap();
     assert!(key.matches(b"0123456789abcdef"));
@@ -139,22 +146,27 @@
 }
 
 #[test]
-fn what_is_required_is_asked_for_in_one_go() {
-    let shown = refused_text("[holding]\nlease_ms = 50\n");
-    assert!(shown.iter().any(|line| line.contains("holding.lease_ms = 50: must be 500")));
+fn all_missing_required_settings_are_reported_together() {
+    let problems = problems_in("[holding]\nlease_ms = 50\n");
+    assert!(problems.iter().any(|line| line.contains("holding.lease_ms = 50: must be 500")));
     for field in ["name", "data_centre", "http_address", "peer_address"] {
-        assert!(shown.iter().any(|line| line.contains(&format!("instance.{field}: is required"))));
+        assert!(
+            problems.iter().any(|line| line.contains(&format!("instance.{field}: is required")))
+        );
     }
-    assert!(shown.iter().any(|line| line.contains("platform.log_addresses: needs at least one")));
-    let bad = LEAST.replace("\"127.0.0.1:7001\"", "\"127.0.0.1:7001\", \"localhost:1\"");
+    assert!(
+        problems.iter().any(|line| line.contains("platform.log_addresses: needs at least one"))
+    );
+    let invalid_address =
+        MINIMAL.replace("\"127.0.0.1:7001\"", "\"127.0.0.1:7001\", \"localhost:1\"");
     assert_eq!(
-        refused_text(&bad),
+        problems_in(&invalid_address),
         ["line 8: platform.log_addresses = \"localhost:1\": must be a valid list of IP:port"]
     );
 }
 
 #[test]
-fn the_table_of_fields_and_the_schema_name_the_same_settings() {
+fn the_settings_table_matches_the_schema() {
     let all = v1::Settings {
         instance: Some(v1::InstanceSettings::default()),
         platform: Some(v1::PlatformSettings::default()),
@@ -185,11 +197,11 @@
     }
 }
 
-/// A crawl ends as may_have_run each time an entry instance dies: its task lease runs out before
-/// the next holder of its worker has claimed it. Settings that make this certain are refused.
+/// Guards against settings under which a non-idempotent task ends as `may_have_run` whenever an entry instance dies,
+/// because the task's lease expires before the next holder of its worker has claimed it.
 #[test]
 fn a_task_lease_shorter_than_a_takeover_is_refused() {
-    let text = format!("{LEAST}\n[jobs]\ntask_lease_ms = 6000\n");
+    let text = format!("{MINIMAL}\n[jobs]\ntask_lease_ms = 6000\n");
     let problems = settings::parse(&text).unwrap_err();
     assert!(problems.iter().any(|problem| problem.field == "holding.lease_ms"), "{problems:?}");
 }
