--- a/lilacpass-codegen/src/main.rs
+++ b/lilacpass-codegen/src/main.rs
@@ -1,8 +1,8 @@
-//! Regenerates what is made from the `.proto` files of `lilacpass-schema`: its code, and the OpenAPI
+//! Generates files from the `.proto` files of `lilacpass-schema`: the Rust code of the messages, and the OpenAPI
 //! description of the HTTP interface.
 //!
-//! `cargo run -p lilacpass-codegen` writes both; with `--check` nothing is written and the exit
-//! code is 1 where what is committed differs.
+//! `cargo run -p lilacpass-codegen` writes both files. With `--check`, it writes nothing, and exits with code 1 if the
+//! committed files are out of date.
 
 mod openapi;
 mod operations;
@@ -21,17 +21,17 @@
 const GENERATED_FILE: &str = "lilacpass.v1.rs";
 const OPENAPI_FILE: &str = "docs/openapi.json";
 
-/// All messages can be written as TOML and JSON.
+/// Attribute of all messages and enums, which allows reading and writing them as TOML and JSON.
 const SERDE_DERIVE: &str = "#[derive(serde::Serialize, serde::Deserialize)]";
-/// What people write is read strictly: an unknown field is an error.
+/// Attribute of messages that people write: unknown fields are rejected, so that typing errors are noticed.
 const SERDE_STRICT: &str = "#[serde(default, deny_unknown_fields)]";
-/// What programs write is read leniently, so that a tool understands the answers of a newer daemon
-/// while instances are upgraded one after the other.
+/// Attribute of messages that programs write: unknown fields are ignored, so that a client can read the responses of a
+/// newer daemon during a rolling upgrade.
 const SERDE_LENIENT: &str = "#[serde(default)]";
 
-/// Files whose messages people write.
+/// Files that contain only messages that people write.
 const STRICT_FILES: [&str; 2] = ["config.proto", "settings.proto"];
-/// Messages of other files that people write.
+/// Messages in other files that people write.
 const STRICT_MESSAGES: [&str; 3] = ["Amount", "ChangeRequest", "JobSpec"];
 
 fn main() -> ExitCode {
@@ -39,7 +39,7 @@
     match run(check) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => {
-            eprintln!("what is generated is out of date: run `cargo run -p lilacpass-codegen`");
+            eprintln!("generated files are out of date: run `cargo run -p lilacpass-codegen`");
             ExitCode::FAILURE
         }
         Err(err) => {
@@ -49,12 +49,13 @@
     }
 }
 
-/// Compares with or replaces the committed files. Returns whether they are up to date.
+/// Compares the generated files with the committed ones, or overwrites these if `check` is false. Returns whether the
+/// committed files are up to date.
 fn run(check: bool) -> Result<bool, Box<dyn error::Error>> {
     let descriptors = protox::compile(proto_files()?, [PROTO_DIR])?;
     let openapi = openapi::text(&descriptors, is_strict)?;
     let code = code(descriptors)?;
-    let committed = [
+    let generated = [
         (Path::new(GENERATED_DIR).join(GENERATED_FILE), code),
         (PathBuf::from(OPENAPI_FILE), openapi),
     ];
@@ -62,16 +63,16 @@
         let is_same = |(path, text): &(PathBuf, String)| {
             fs::read_to_string(path).is_ok_and(|old| old == *text)
         };
-        return Ok(committed.iter().all(is_same));
+        return Ok(generated.iter().all(is_same));
     }
     fs::create_dir_all(GENERATED_DIR)?;
-    for (path, text) in committed {
+    for (path, text) in generated {
         fs::write(path, text)?;
     }
     Ok(true)
 }
 
-/// The code of the messages, by way of a scratch directory.
+/// Generates the code of the messages in a temporary directory and returns its text.
 fn code(descriptors: FileDescriptorSet) -> Result<String, Box<dyn error::Error>> {
     let scratch = env::temp_dir().join(format!("lilacpass-codegen-{}", std::process::id()));
     fs::create_dir_all(&scratch)?;
@@ -81,6 +82,7 @@
     text
 }
 
+/// Generates the code of the messages into `out_dir`.
 fn generate(descriptors: FileDescriptorSet, out_dir: &Path) -> Result<(), Box<dyn error::Error>> {
     let mut config = tonic_prost_build::Config::new();
     config.message_attribute(".", SERDE_DERIVE);
@@ -91,17 +93,18 @@
         }
     }
     config.enum_attribute(".", SERDE_DERIVE);
-    // Oneofs of the configuration are written by people, as `{ set_rules = { .. } }`.
+    // People write the oneof of a configuration step in the form `{ set_rules = { .. } }`.
     config.enum_attribute("lilacpass.v1.ConfigOp.op", "#[serde(rename_all = \"snake_case\")]");
     tonic_prost_build::configure().out_dir(out_dir).compile_fds_with_config(descriptors, config)?;
     Ok(())
 }
 
-/// Whether people write a message.
+/// Returns whether people write this message, so that unknown fields must be rejected.
 fn is_strict(file: &FileDescriptorProto, message: &DescriptorProto) -> bool {
     STRICT_FILES.contains(&file.name()) || STRICT_MESSAGES.contains(&message.name())
 }
 
+/// Returns the paths of all `.proto` files in a fixed order, so that the output is reproducible.
 fn proto_files() -> Result<Vec<PathBuf>, Box<dyn error::Error>> {
     let mut files: Vec<PathBuf> = fs::read_dir(PROTO_DIR)?
         .filter_map(|entry| entry.ok().map(|e| e.path()))
--- a/lilacpass-codegen/src/openapi.rs
+++ b/lilacpass-codegen/src/openapi.rs
@@ -1,4 +1,4 @@
-//! The OpenAPI description of the HTTP interface.
+//! Generates the OpenAPI description of the HTTP interface.
 
 use prost_types::{DescriptorProto, FileDescriptorProto, FileDescriptorSet};
 use serde_json::{Map, Value, json};
@@ -8,63 +8,67 @@
     schema,
 };
 
-/// Media type of bodies and answers.
+/// Media type of request and response bodies.
 const JSON: &str = "application/json";
 
-/// Message of each problem.
+/// Name of the message that describes an error.
 const PROBLEM: &str = "Problem";
 
-/// Message of the work that is asked for, and the fields that a request for work needs.
+/// Name of the message with which a caller requests work.
 const WORK: &str = "JobSpec";
-const NEEDED_OF_WORK: [&str; 2] = ["service", "team"];
+/// Fields of [`WORK`] that are required in a request body.
+const REQUIRED_WORK_FIELDS: [&str; 2] = ["service", "team"];
 
-/// Problems that each operation has.
+/// Error statuses that every operation can return.
 const COMMON_PROBLEMS: [u16; 6] = [400, 401, 429, 431, 503, 504];
-/// Problem of the operations that are not for every role.
+/// Error status of operations that not every role may call.
 const FORBIDDEN: u16 = 403;
 
-/// All problems with the case that they stand for.
+/// All error statuses with their meanings.
 const PROBLEMS: [(u16, &str); 15] = [
-    (400, "Path, query, headers or body are not as described, or name what is not configured."),
-    (401, "No token of the cell, an expired one, or a malformed Authorization header."),
-    (403, "The role of the token does not allow this, or the work is another team's."),
-    (404, "There is no such job, or it is another team's."),
+    (
+        400,
+        "Path, query, headers or body are invalid, or refer to something that is not configured.",
+    ),
+    (401, "The token is missing, unknown or expired, or the Authorization header is malformed."),
+    (403, "The role of the token does not allow this, or the work belongs to another team."),
+    (404, "There is no such job, or it belongs to another team."),
     (408, "The body did not arrive in time."),
-    (409, "The idempotency key was used with another body before."),
-    (412, "Another change came first; `winner` shows it."),
+    (409, "The idempotency key was used with a different body before."),
+    (412, "Another change was accepted first; `winner` shows it."),
     (413, "The body is too long."),
-    (422, "No worker of the inventory could ever hold this."),
+    (422, "No worker of the inventory can ever hold this work."),
     (428, "If-Match is missing."),
-    (429, "There is too much work now, or too many tries from this address were refused."),
+    (429, "There is too much work now, or too many attempts from this address were refused."),
     (431, "The headers are too long."),
     (502, "The work ran and failed."),
-    (503, "Not available now: no configuration, an overload, or the log can't be reached."),
-    (504, "The time for an answer is over; `verdict` says whether the work may have run."),
+    (503, "Not available now: no configuration, an overload, or the log cannot be reached."),
+    (504, "The deadline has passed; `verdict` says whether the work may have run."),
 ];
 
-const DESCRIPTION: &str = "Callers send work, operators change the configuration. Each failure \
-    is a problem document (RFC 9457) whose `verdict` says whether the request may have run. \
-    Unknown fields of bodies and unknown query parameters are refused; answers may get further \
-    fields in later versions. Other paths are answered with 404, other methods with 405 and \
-    Allow. Beyond the limit of connections the answer is a 503 without X-Request-Id, and headers \
-    beyond the buffer of a connection get a 431 without a body.";
+const DESCRIPTION: &str = "Callers submit work and operators change the configuration. Each error \
+    is reported as a problem document (RFC 9457), whose `verdict` says whether the request may \
+    have run. Unknown body fields and unknown query parameters are refused; later versions may \
+    add fields to responses. Other paths are answered with 404, other methods with 405 and an \
+    Allow header. If the limit of connections is exceeded, the response is a 503 without \
+    X-Request-Id; if the headers exceed the buffer of a connection, it is a 431 without a body.";
 
 const TOKEN_DESCRIPTION: &str = "A token of the configuration, with the role operator, team or \
-    read-only. A team sees and cancels only its own work. As long as the configuration has no \
-    tokens, callers on a loopback address count as operator without one.";
+    read-only. A team can view and cancel only its own work. As long as the configuration has \
+    no tokens, callers on a loopback address have the role operator without one.";
 
-/// The whole description, as text.
+/// Returns the whole description as JSON text.
 ///
 /// # Errors
 ///
-/// A message has no known form in JSON.
+/// Fails if the JSON form of a message is not known.
 pub(crate) fn text(
     files: &FileDescriptorSet,
     is_strict: fn(&FileDescriptorProto, &DescriptorProto) -> bool,
 ) -> Result<String, String> {
     let bodies = OPERATIONS.iter().filter_map(|operation| operation.body);
-    let answers = OPERATIONS.iter().map(|operation| operation.answer);
-    let roots = bodies.chain(answers).chain([PROBLEM]);
+    let responses = OPERATIONS.iter().map(|operation| operation.response);
+    let roots = bodies.chain(responses).chain([PROBLEM]);
     let document = json!({
         "openapi": "3.1.0",
         "info": {
@@ -91,19 +95,21 @@
     Ok(format!("{document:#}\n"))
 }
 
+/// Describes all operations and probes by path and method.
 fn paths() -> Value {
     let mut paths = json!({});
     for operation in OPERATIONS {
-        paths[operation.path][operation.method] = described(operation);
+        paths[operation.path][operation.method] = operation_object(operation);
     }
     for probe in PROBES {
-        paths[probe.path]["get"] = probed(probe);
+        paths[probe.path]["get"] = probe_object(probe);
     }
     paths
 }
 
-fn described(operation: &Operation) -> Value {
-    let mut described = json!({
+/// Returns the OpenAPI operation object of an operation.
+fn operation_object(operation: &Operation) -> Value {
+    let mut object = json!({
         "operationId": operation.id,
         "summary": operation.summary,
         "description": format!("Roles: {}.", operation.roles.join(", ")),
@@ -112,38 +118,40 @@
     });
     if !operation.parameters.is_empty() {
         let refer = |name: &&str| component("parameters", name);
-        described["parameters"] = operation.parameters.iter().map(refer).collect();
+        object["parameters"] = operation.parameters.iter().map(refer).collect();
     }
     if let Some(body) = operation.body {
         let mut content = content(body);
         if body == WORK {
-            content[JSON]["schema"]["required"] = json!(NEEDED_OF_WORK);
+            content[JSON]["schema"]["required"] = json!(REQUIRED_WORK_FIELDS);
         }
-        described["requestBody"] = json!({ "required": true, "content": content });
+        object["requestBody"] = json!({ "required": true, "content": content });
     }
-    described
+    object
 }
 
+/// Describes the responses of an operation by status.
 fn responses(operation: &Operation) -> Value {
-    let mut answer = json!({
-        "description": "Done as asked.",
+    let mut success = json!({
+        "description": "The request succeeded.",
         "headers": { "X-Request-Id": component("headers", "X-Request-Id") },
-        "content": content(operation.answer),
+        "content": content(operation.response),
     });
     if operation.status == 202 {
-        answer["headers"]["Location"] = component("headers", "Location");
+        success["headers"]["Location"] = component("headers", "Location");
     }
-    let mut responses = json!({ operation.status.to_string(): answer });
+    let mut responses = json!({ operation.status.to_string(): success });
     let forbidden = (operation.roles != ALL_ROLES).then_some(FORBIDDEN);
-    let own = operation.problems.iter().copied().chain(forbidden);
-    for status in COMMON_PROBLEMS.into_iter().chain(own) {
+    let specific = operation.problems.iter().copied().chain(forbidden);
+    for status in COMMON_PROBLEMS.into_iter().chain(specific) {
         responses[status.to_string()] = component("responses", &problem_name(status));
     }
     responses
 }
 
-fn probed(probe: &Probe) -> Value {
-    let answer = |&(status, meaning): &(u16, &str)| {
+/// Returns the OpenAPI operation object of a probe.
+fn probe_object(probe: &Probe) -> Value {
+    let response = |&(status, meaning): &(u16, &str)| {
         let content = json!({ "text/plain": { "schema": { "type": "string" } } });
         (status.to_string(), json!({ "description": meaning, "content": content }))
     };
@@ -151,10 +159,11 @@
         "operationId": probe.id,
         "summary": probe.summary,
         "security": [],
-        "responses": probe.answers.iter().map(answer).collect::<Map<_, _>>(),
+        "responses": probe.responses.iter().map(response).collect::<Map<_, _>>(),
     })
 }
 
+/// Describes all parameters by name.
 fn parameters() -> Value {
     json!({
         "id": {
@@ -167,44 +176,46 @@
         "wait_ms": {
             "name": "wait_ms",
             "in": "query",
-            "description": "Longest wait for the end of the job, in milliseconds; above 60000 it \
-                            counts as 60000.",
+            "description": "Maximum time to wait for the end of the job, in milliseconds; values \
+                            above 60000 count as 60000.",
             "schema": { "type": "integer", "minimum": 0 },
         },
         "Idempotency-Key": {
             "name": "Idempotency-Key",
             "in": "header",
-            "description": "The caller's name for the request; one that is repeated with the same \
-                            key runs once.",
+            "description": "Identifies the request; if it is repeated with the same key, it runs \
+                            only once.",
             "schema": { "type": "string", "pattern": "^[!-~]{1,128}$" },
         },
         "Deadline-Ms": {
             "name": "Deadline-Ms",
             "in": "header",
-            "description": "Time that the caller waits, in milliseconds, up to the limit of the \
-                            instance's settings; else the default of the service.",
+            "description": "Time that the caller waits, in milliseconds, up to the limit in the \
+                            instance's settings; defaults to the deadline of the service.",
             "schema": { "type": "integer", "minimum": 1 },
         },
         "If-Match": {
             "name": "If-Match",
             "in": "header",
             "required": true,
-            "description": "The revision that the change builds on.",
+            "description": "The revision that the change is based on.",
             "schema": { "type": "string", "pattern": "^(\"[0-9]+\"|[0-9]+)$" },
         },
     })
 }
 
+/// Describes all response headers by name.
 fn headers() -> Value {
     let header = |kind: &str, description: &str| json!({ "description": description, "schema": { "type": kind } });
     json!({
-        "X-Request-Id": header("string", "Id of the request in logs and problem documents."),
+        "X-Request-Id": header("string", "Id of the request, as shown in logs and problem documents."),
         "Location": header("string", "Path of the accepted job."),
-        "Retry-After": header("integer", "Seconds after which coming back helps, if it does."),
-        "WWW-Authenticate": header("string", "The scheme \"Bearer\"."),
+        "Retry-After": header("integer", "Seconds after which to retry, if retrying can succeed."),
+        "WWW-Authenticate": header("string", "The authentication scheme \"Bearer\"."),
     })
 }
 
+/// Describes the response of each error status.
 fn problems() -> Map<String, Value> {
     let problem = |(status, meaning): (u16, &str)| {
         let mut headers = vec!["X-Request-Id"];
@@ -224,14 +235,17 @@
     PROBLEMS.into_iter().map(problem).collect()
 }
 
+/// Returns the name of the response component for an error status.
 fn problem_name(status: u16) -> String {
     format!("{PROBLEM}{status}")
 }
 
+/// Returns the content object of a JSON body that holds the given message.
 fn content(message: &str) -> Value {
     json!({ JSON: { "schema": schema::reference(message) } })
 }
 
+/// Returns a reference to a component of the description.
 fn component(kind: &str, name: &str) -> Value {
     json!({ "$ref": format!("#/components/{kind}/{name}") })
 }
--- a/lilacpass-codegen/src/schema.rs
+++ b/lilacpass-codegen/src/schema.rs
@@ -1,5 +1,4 @@
-//! JSON schemas of messages, in the form that the derived code of `lilacpass-schema` writes and
-//! reads.
+//! Generates JSON schemas of messages, in the form in which the serde code of `lilacpass-schema` reads and writes them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,51 +8,54 @@
 };
 use serde_json::{Map, Value, json};
 
-/// Steps of the path to a comment: the messages of a file, and the fields of a message.
+/// Field number of `message_type` in `FileDescriptorProto`, which selects the messages in the path to a comment.
 const MESSAGES: i32 = 4;
+/// Field number of `field` in `DescriptorProto`, which selects the fields of a message in the path to a comment.
 const FIELDS: i32 = 2;
 
-/// The message whose oneof is written as `{ set_rules = { .. } }`, and which is refused without it.
+/// Name of the message whose oneof is written as `{ set_rules = { .. } }` and is required.
 const TAGGED: &str = "ConfigOp";
 
 type Result<T> = std::result::Result<T, String>;
 
-/// The schemas of `roots` and of all messages in them, by name.
+/// Returns the schemas of `roots` and of all messages that they contain, by name.
 ///
 /// # Errors
 ///
-/// A message is missing, or has a field whose form in JSON is not known here.
+/// Fails if a message is missing or has a field whose JSON form is not known.
 pub(crate) fn components(
     files: &FileDescriptorSet,
     roots: impl IntoIterator<Item = &'static str>,
     is_strict: fn(&FileDescriptorProto, &DescriptorProto) -> bool,
 ) -> Result<Map<String, Value>> {
     let known = messages(files, is_strict);
-    let mut wanted: BTreeSet<&str> = roots.into_iter().collect();
+    let mut pending: BTreeSet<&str> = roots.into_iter().collect();
     let mut found = Map::new();
-    while let Some(name) = wanted.pop_first() {
+    while let Some(name) = pending.pop_first() {
         let message = known.get(name).ok_or_else(|| format!("there is no message {name}"))?;
         found.insert(name.to_owned(), message.schema()?);
-        wanted.extend(message.references().filter(|name| !found.contains_key(*name)));
+        pending.extend(message.references().filter(|name| !found.contains_key(*name)));
     }
     Ok(found)
 }
 
-/// Reference to the schema of a message.
+/// Returns a reference to the schema of a message.
 pub(crate) fn reference(name: &str) -> Value {
     json!({ "$ref": format!("#/components/schemas/{name}") })
 }
 
-/// One message with its place in its file.
+/// A message and its position in its file.
 struct Message<'a> {
     file: &'a FileDescriptorProto,
+    /// Index of the message in the file.
     index: usize,
     descriptor: &'a DescriptorProto,
-    /// Whether an unknown field is an error. Such messages may also leave out fields, while all
-    /// others are written by the daemon, which leaves out none.
+    /// Whether unknown fields are rejected. All fields of such a message are optional, whereas all other messages are
+    /// written by the daemon, which includes every field.
     strict: bool,
 }
 
+/// Returns all messages by name.
 fn messages(
     files: &FileDescriptorSet,
     is_strict: fn(&FileDescriptorProto, &DescriptorProto) -> bool,
@@ -69,18 +71,20 @@
 }
 
 impl<'a> Message<'a> {
+    /// Returns the names of the messages that are types of this message's fields.
     fn references(&self) -> impl Iterator<Item = &'a str> {
         let fields = self.descriptor.field.iter();
         fields.filter(|field| field.r#type() == Type::Message).map(message_name)
     }
 
+    /// Returns the JSON schema of the message.
     fn schema(&self) -> Result<Value> {
         let mut properties = Map::new();
         let mut variants = Vec::new();
         for (index, field) in self.descriptor.field.iter().enumerate() {
             match field.oneof_index {
                 None => {
-                    let schema = described(property(field)?, self.field_comment(index));
+                    let schema = with_description(property(field)?, self.field_comment(index));
                     properties.insert(field.name().to_owned(), schema);
                 }
                 Some(_) => variants.push(self.variant(index, field)?),
@@ -98,14 +102,17 @@
             schema["additionalProperties"] = json!(false);
         }
         schema["properties"] = Value::Object(properties);
-        Ok(described(schema, self.comment(&[MESSAGES, path_step(self.index)])))
+        Ok(with_description(schema, self.comment(&[MESSAGES, path_element(self.index)])))
     }
 
-    /// One choice of the message's oneof, as an object whose only field names the choice.
+    /// Returns the schema of one variant of the message's oneof: an object whose only field has the variant's name.
     fn variant(&self, index: usize, field: &FieldDescriptorProto) -> Result<Value> {
         let name = field.name();
         if self.descriptor.name() != TAGGED || self.descriptor.oneof_decl.len() != 1 {
-            return Err(format!("{}.{name}: no known form of a oneof", self.descriptor.name()));
+            return Err(format!(
+                "{}.{name}: the JSON form of this oneof is not known",
+                self.descriptor.name()
+            ));
         }
         let schema = json!({
             "type": "object",
@@ -113,18 +120,21 @@
             "additionalProperties": false,
             "properties": { name: value(field)? },
         });
-        Ok(described(schema, self.field_comment(index)))
+        Ok(with_description(schema, self.field_comment(index)))
     }
 
+    /// Returns the names of the required properties.
     fn required<'p>(&self, properties: &'p Map<String, Value>) -> Vec<&'p String> {
-        let needed = !self.strict || self.descriptor.name() == TAGGED;
-        properties.keys().filter(|_| needed).collect()
+        let all_required = !self.strict || self.descriptor.name() == TAGGED;
+        properties.keys().filter(|_| all_required).collect()
     }
 
+    /// Returns the comment of a field in the `.proto` file, joined into one line.
     fn field_comment(&self, index: usize) -> Option<String> {
-        self.comment(&[MESSAGES, path_step(self.index), FIELDS, path_step(index)])
+        self.comment(&[MESSAGES, path_element(self.index), FIELDS, path_element(index)])
     }
 
+    /// Returns the comment of the element at `path` in the `.proto` file, joined into one line.
     fn comment(&self, path: &[i32]) -> Option<String> {
         let locations = &self.file.source_code_info.as_ref()?.location;
         let text = locations.iter().find(|location| location.path == path)?.leading_comments();
@@ -133,7 +143,7 @@
     }
 }
 
-/// The schema of a field outside any oneof.
+/// Returns the schema of a field that is not part of a oneof.
 fn property(field: &FieldDescriptorProto) -> Result<Value> {
     let value = value(field)?;
     Ok(match (field.label(), field.r#type()) {
@@ -143,7 +153,7 @@
     })
 }
 
-/// The schema of one value of a field.
+/// Returns the schema of a single value of a field, regardless of whether the field is repeated.
 fn value(field: &FieldDescriptorProto) -> Result<Value> {
     Ok(match field.r#type() {
         Type::Bool => json!({ "type": "boolean" }),
@@ -153,22 +163,24 @@
         }
         Type::Uint64 => json!({ "type": "integer", "format": "uint64", "minimum": 0 }),
         Type::Message => reference(message_name(field)),
-        other => return Err(format!("{}: no known form of {other:?}", field.name())),
+        other => return Err(format!("{}: the JSON form of {other:?} is not known", field.name())),
     })
 }
 
-fn described(mut schema: Value, comment: Option<String>) -> Value {
+/// Adds a comment, if there is one, to a schema as its description.
+fn with_description(mut schema: Value, comment: Option<String>) -> Value {
     if let Some(comment) = comment {
         schema["description"] = json!(comment);
     }
     schema
 }
 
-/// The name of a field's message without its package.
+/// Returns the name of a field's message type without its package.
 fn message_name(field: &FieldDescriptorProto) -> &str {
     field.type_name().rsplit('.').next().unwrap_or_default()
 }
 
-fn path_step(index: usize) -> i32 {
+/// Converts an index to an element of a comment's path.
+fn path_element(index: usize) -> i32 {
     i32::try_from(index).unwrap_or(i32::MAX)
 }
