--- a/lilacpass-config/src/change.rs
+++ b/lilacpass-config/src/change.rs
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Removes the entry named `wanted`.
+    /// Removes the entry named `wanted`, or returns an error if there is none.
     fn remove<T: 'static>(
         &mut self,
         section: Section<T>,
--- a/lilacpass-config/src/check/entries.rs
+++ b/lilacpass-config/src/check/entries.rs
@@ -91,7 +91,7 @@
         }
         self.report(entry, form::name("rack", &worker.rack));
         let known = self.names.data_centres.contains(worker.data_centre.as_str());
-        self.reference(entry, "data_centre", &worker.data_centre, known);
+        self.check_reference(entry, "data_centre", &worker.data_centre, known);
         self.report(entry, form::CPU.check(worker.cpu_milli));
         self.report(entry, form::MEMORY.check(worker.memory_mib));
         self.report(entry, form::ACCELERATORS.check(worker.accelerators));
@@ -143,9 +143,9 @@
 
     fn standing_spec(&mut self, entry: Entry<'_>, spec: &v1::JobSpec) {
         let team_known = self.names.teams.contains(spec.team.as_str());
-        self.reference(entry, "spec.team", &spec.team, team_known);
+        self.check_reference(entry, "spec.team", &spec.team, team_known);
         let service = self.names.services.get(spec.service.as_str()).copied();
-        self.reference(entry, "spec.service", &spec.service, service.is_some());
+        self.check_reference(entry, "spec.service", &spec.service, service.is_some());
         self.report(entry, form::optional_name("spec.account", &spec.account));
         self.report(entry, form::name("spec.kind", &spec.kind));
         self.class(entry, &spec.class);
@@ -155,7 +155,7 @@
         }
         if !spec.data_centre.is_empty() {
             let known = self.names.data_centres.contains(spec.data_centre.as_str());
-            self.reference(entry, "spec.data_centre", &spec.data_centre, known);
+            self.check_reference(entry, "spec.data_centre", &spec.data_centre, known);
         }
         self.report(entry, form::payload(&spec.payload));
         self.report(entry, form::RUN.check(spec.run_ms).map(in_spec));
@@ -184,7 +184,7 @@
             match token.role.parse() {
                 Ok(Role::Team) => {
                     let known = self.names.teams.contains(token.team.as_str());
-                    self.reference(entry, "team", &token.team, known);
+                    self.check_reference(entry, "team", &token.team, known);
                 }
                 Ok(Role::Operator | Role::ReadOnly) if token.team.is_empty() => {}
                 Ok(role) => {
@@ -217,7 +217,7 @@
         for (index, rule) in rules.accounts.iter().enumerate() {
             let entry = Entry { section: "rules.accounts", index, name: "" };
             let known = self.names.teams.contains(rule.team.as_str());
-            self.reference(entry, "team", &rule.team, known);
+            self.check_reference(entry, "team", &rule.team, known);
             self.report(entry, form::name("account", &rule.account));
             self.report(entry, form::PRIORITY.check(u64::from(rule.priority)));
             if !seen.insert((&rule.team, &rule.account)) {
@@ -254,8 +254,8 @@
         in_scope
     }
 
-    /// Reports a reference to an entry that does not exist, unless it is `known`.
-    fn reference(&mut self, entry: Entry<'_>, member: &str, value: &str, known: bool) {
+    /// Reports a problem if the entry that a field refers to does not exist, that is, if `known` is false.
+    fn check_reference(&mut self, entry: Entry<'_>, member: &str, value: &str, known: bool) {
         if !known {
             let what = member.rsplit('.').next().unwrap_or(member).replace('_', " ");
             let problem = Problem::new(member, format!("names no known {what}"));
--- a/lilacpass-config/src/inventory.rs
+++ b/lilacpass-config/src/inventory.rs
@@ -41,7 +41,7 @@
 
 /// Formats a configuration as TOML text that [`parse`] can read back.
 ///
-/// TOML cannot represent integers above 2^63 - 1, which [`check`] rejects as well. If the configuration contains one,
+/// TOML cannot represent integers above 2^63 - 1, which [`check()`] rejects as well. If the configuration contains one,
 /// the result is a comment that states the error.
 pub fn to_toml(configuration: &v1::Configuration) -> String {
     toml::to_string_pretty(configuration).unwrap_or_else(|err| format!("# not writable: {err}\n"))
--- a/lilacpass-config/tests/fold_fuzz.rs
+++ b/lilacpass-config/tests/fold_fuzz.rs
@@ -31,7 +31,7 @@
     Append { member: u8, base: Base, worker: u8, kind: Kind },
     /// A member appends a snapshot of its configuration.
     AppendSnapshot { member: u8 },
-    /// A member reads some records, of which it has read the first `again` before.
+    /// A member reads some records, starting `again` records before its position.
     Read { member: u8, again: u8, records: u8 },
     /// A member reads all records up to the end of the log.
     ReadAll { member: u8 },
--- a/lilacpass-config/tests/inventory.rs
+++ b/lilacpass-config/tests/inventory.rs
@@ -27,10 +27,10 @@
     let text = "[[data_centres]]\nname = \"hal-a\"\n\n[[workers]]\nname = \"w1\"\nrack = \"r1\"\n\
                 data_centre = \"hal-x\"\naddress = \"192.0.2.1\"\ncpu_milli = 1\nmemory_mib = 1\n\
                 slots = 0\n";
-    let shown: Vec<_> =
+    let problems: Vec<_> =
         inventory::parse(text).unwrap_err().iter().map(ToString::to_string).collect();
     assert_eq!(
-        shown,
+        problems,
         [
             "line 4: workers[w1].connections = 0: must be 1 to 65536",
             "line 7: workers[w1].data_centre = \"hal-x\": names no known data centre",
@@ -44,10 +44,10 @@
 #[test]
 fn unknown_keys_and_wrong_types_are_refused_with_their_lines() {
     let text = "[[workers]]\nname = 7\ncpu = 3\n[rules]\nmax_attempts = 4294967296\n";
-    let shown: Vec<_> =
+    let problems: Vec<_> =
         inventory::parse(text).unwrap_err().iter().map(ToString::to_string).collect();
     assert_eq!(
-        shown,
+        problems,
         [
             "line 2: workers[0].name: must be a string, is integer",
             "line 3: workers[0].cpu: unknown key; did you mean `cpu_milli`?",
@@ -89,8 +89,8 @@
 /// changing the address. Tasks of both would start on one machine and use twice its capacity.
 #[test]
 fn two_workers_behind_one_address_are_refused() {
-    let shown = problems_after(|c| c.workers[1].address = worker(0).address);
-    assert_eq!(shown, ["workers[w1].address = 192.0.0.1:7100: is the address of `w0` too"]);
+    let problems = problems_after(|c| c.workers[1].address = worker(0).address);
+    assert_eq!(problems, ["workers[w1].address = 192.0.0.1:7100: is the address of `w0` too"]);
 }
 
 #[test]
@@ -105,9 +105,9 @@
         "0.0.0.0:7100",
         "224.0.0.1:7100",
     ] {
-        let shown = problems_after(|c| c.workers[0].address = address.to_owned());
-        assert_eq!(shown.len(), 1, "{address}");
-        assert!(shown[0].contains("must be IP:port of one worker"), "{}", shown[0]);
+        let problems = problems_after(|c| c.workers[0].address = address.to_owned());
+        assert_eq!(problems.len(), 1, "{address}");
+        assert!(problems[0].contains("must be IP:port of one worker"), "{}", problems[0]);
     }
     let zero = problems_after(|c| {
         c.workers[3] =
@@ -182,9 +182,13 @@
     for hash in
         ["", "secret", "$argon2id$v=19$m=19456,t=2,p=1$YWJjZGVmZ2hpamtsbW5vcA", expensive.as_str()]
     {
-        let shown = problems_after(|c| c.tokens[0].hash = hash.to_owned());
-        assert_eq!(shown.len(), 1, "{hash}");
-        assert!(shown[0].starts_with("tokens[anna].hash: must be an $argon2id$"), "{}", shown[0]);
+        let problems = problems_after(|c| c.tokens[0].hash = hash.to_owned());
+        assert_eq!(problems.len(), 1, "{hash}");
+        assert!(
+            problems[0].starts_with("tokens[anna].hash: must be an $argon2id$"),
+            "{}",
+            problems[0]
+        );
     }
     let rules = problems_after(|c| {
         let rules = c.rules.as_mut().unwrap();
