--- a/lilacpass-config/src/check/fit.rs
+++ b/lilacpass-config/src/check/fit.rs
@@ -5,7 +5,8 @@
 use lilacpass_core::resources::Resources;
 use lilacpass_schema::v1;
 
-/// Capacity of a cell. Workers are grouped by size; there are few sizes, since racks are bought with the same equipment.
+/// Capacity of a cell. Workers are grouped by size; there are few sizes, since racks are bought with the same
+/// equipment.
 pub(crate) struct Cell {
     total: Resources,
     /// Number of workers of each size.
--- a/lilacpass-config/tests/access.rs
+++ b/lilacpass-config/tests/access.rs
@@ -56,8 +56,8 @@
     }
 }
 
-/// Guards against a removed token, for example a leaked one, that stays valid until the cache evicts it. The cause would
-/// be a cache that uses entries of an older configuration revision.
+/// Guards against a removed token, for example a leaked one, that stays valid until the cache evicts it. The cause
+/// would be a cache that uses entries of an older configuration revision.
 #[test]
 fn a_removed_or_replaced_token_is_refused_though_it_was_cached() {
     let (text, token) = operator_token("anna");
