--- a/lilacpass-cli/src/commands/status.rs
+++ b/lilacpass-cli/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `status`: the state of the cell at a glance, within 80 columns.
+//! `status`: summarises the state of the cell within 80 columns.
 
 use std::collections::BTreeMap;
 
@@ -7,35 +7,39 @@
 
 use crate::{
     api::path,
-    commands::Tool,
+    commands::Context,
     error::Result,
     report::Report,
     table::{self, DEFAULT_WIDTH},
     units,
 };
 
-/// Most names that are listed in one line of trouble.
+/// Maximum number of names listed in one finding.
 const MAX_NAMES: usize = 12;
 
-/// Shows the state of the cell as the server sees it.
-pub async fn run(tool: &mut Tool) -> Result<Report> {
-    let answer = tool.client.get(path::STATUS).await?;
-    Report::of_answer(tool.format, answer, render)
+/// Shows the state of the cell as one entry instance sees it.
+pub async fn run(context: &mut Context) -> Result<Report> {
+    let response = context.client.get(path::STATUS).await?;
+    Report::from_response(context.format, response, render)
 }
 
-/// The state as text, as one entry instance sees it: first what needs a person, then the rest. No line is longer than 80
-/// characters.
+/// Formats the status as text with lines of at most 80 characters; the findings that need an operator come first.
 pub fn render(status: &v1::StatusView) -> String {
-    let parts =
-        [trouble(status), summary(status), data_centres(status), members(status), classes(status)];
+    let parts = [
+        findings_section(status),
+        summary(status),
+        data_centres(status),
+        members(status),
+        classes(status),
+    ];
     parts.join("\n\n")
 }
 
-fn trouble(status: &v1::StatusView) -> String {
+fn findings_section(status: &v1::StatusView) -> String {
     render_findings(&findings(status))
 }
 
-/// All that needs a person, or that nothing does.
+/// Formats the findings that need an operator, or states that there are none.
 pub fn render_findings(findings: &[String]) -> String {
     if findings.is_empty() {
         return "ALL WELL".to_owned();
@@ -49,34 +53,37 @@
     text.join("\n")
 }
 
-/// What needs a person, one line for each thing.
+/// Returns what needs an operator, one line per finding.
 pub fn findings(status: &v1::StatusView) -> Vec<String> {
     let mut found = Vec::new();
     if !status.ready {
         found.push(format!("{} is not ready and takes no traffic", status.instance));
     }
     if !status.log_reachable {
-        found.push(format!("log service not reachable, last answer {}", ago(status.log_silent_ms)));
+        found.push(format!(
+            "log service not reachable, last answer {}",
+            format_age(status.log_silent_ms)
+        ));
     }
-    found.extend(status.holdings.iter().filter_map(holding_trouble));
-    found.extend(named("silent watchers", &status.silent_watchers));
-    found.extend(named("workers in quarantine", &status.quarantined_workers));
+    found.extend(status.holdings.iter().filter_map(holding_finding));
+    found.extend(count_and_names("silent watchers", &status.silent_watchers));
+    found.extend(count_and_names("workers in quarantine", &status.quarantined_workers));
     let silent = |member: &&v1::MemberView| member.state == "silent";
     let members: Vec<String> =
         status.members.iter().filter(silent).map(|member| member.name.clone()).collect();
-    found.extend(named("silent members", &members));
+    found.extend(count_and_names("silent members", &members));
     let behind: Vec<String> = status
         .members
         .iter()
         .filter(|member| member.state == "alive" && member.revision < status.revision)
         .map(|member| format!("{} (at {})", member.name, member.revision))
         .collect();
-    found.extend(named(&format!("members behind revision {}", status.revision), &behind));
+    found.extend(count_and_names(&format!("members behind revision {}", status.revision), &behind));
     found
 }
 
-/// What a way of holding other than the lease means for the work.
-fn holding_trouble(holding: &v1::HoldingView) -> Option<String> {
+/// Describes the consequence for new work if shards are held in any mode other than by lease.
+fn holding_finding(holding: &v1::HoldingView) -> Option<String> {
     let shards = holding.shards;
     match holding.mode.as_str() {
         _ if shards == 0 => None,
@@ -89,8 +96,8 @@
     }
 }
 
-/// A count and the names behind it, where there are any.
-fn named(what: &str, names: &[String]) -> Option<String> {
+/// Formats a count followed by the names, of which at most [`MAX_NAMES`] are listed; `None` if there are no names.
+fn count_and_names(what: &str, names: &[String]) -> Option<String> {
     if names.is_empty() {
         return None;
     }
@@ -108,7 +115,7 @@
     let (held, total) = (status.workers_held, status.workers_total);
     [
         format!("asked     {instance} in {data_centre}, revision {revision}"),
-        format!("log       {log}, last answer {}", ago(status.log_silent_ms)),
+        format!("log       {log}, last answer {}", format_age(status.log_silent_ms)),
         format!("workers   {held} held here of {total} in the cell"),
         format!("shards    {}", shards(status)),
         format!("jobs      {} running", status.jobs_running),
@@ -116,22 +123,22 @@
     .join("\n")
 }
 
-/// How many shards are held in which way.
+/// Formats how many shards are held in each mode.
 pub fn shards(status: &v1::StatusView) -> String {
     let modes: Vec<String> =
         status.holdings.iter().map(|h| format!("{} {}", h.shards, h.mode)).collect();
     if modes.is_empty() { "none".to_owned() } else { modes.join(", ") }
 }
 
-/// The time since something was last heard; the greatest number stands for never.
-fn ago(silent_ms: u64) -> String {
+/// Formats the time since the last contact; `u64::MAX` means that there was none.
+fn format_age(silent_ms: u64) -> String {
     match silent_ms {
         u64::MAX => "never".to_owned(),
-        _ => format!("{} ago", units::show_ms(silent_ms)),
+        _ => format!("{} ago", units::format_ms(silent_ms)),
     }
 }
 
-/// How many members each data centre has, and which revisions are in force there.
+/// Formats the number of members in each state and the configuration revisions per data centre.
 fn data_centres(status: &v1::StatusView) -> String {
     let mut groups: BTreeMap<&str, Vec<&v1::MemberView>> = BTreeMap::new();
     for member in &status.members {
@@ -145,7 +152,7 @@
     table::render(DEFAULT_WIDTH, ["DATA CENTRE", "ALIVE", "LEAVING", "SILENT", "REVISION"], rows)
 }
 
-/// The revision of all members, or the lowest and the highest.
+/// Formats the common revision of the members, or the lowest and the highest one.
 fn revisions(members: &[&v1::MemberView]) -> String {
     let lowest = members.iter().map(|m| m.revision).min().unwrap_or(0);
     let highest = members.iter().map(|m| m.revision).max().unwrap_or(0);
@@ -159,21 +166,21 @@
             member.data_centre.clone(),
             member.state.clone(),
             member.revision.to_string(),
-            heard(member),
+            last_heard(member),
         ]
     });
     table::render(DEFAULT_WIDTH, ["MEMBER", "DATA CENTRE", "STATE", "REVISION", "HEARD"], rows)
 }
 
-/// When a member was last heard; a silent one without a time never was.
-fn heard(member: &v1::MemberView) -> String {
+/// Formats the time since the last contact with a member; 0 for a silent member means that there was none.
+fn last_heard(member: &v1::MemberView) -> String {
     match member.silent_ms {
         0 if member.state == "silent" => "never".to_owned(),
-        silent_ms => ago(silent_ms),
+        silent_ms => format_age(silent_ms),
     }
 }
 
-/// One line for each class, the most urgent first.
+/// Formats one line per class, the most urgent class first.
 fn classes(status: &v1::StatusView) -> String {
     let rank = |class: &v1::ClassView| class.class.parse().unwrap_or(Class::Batch);
     let mut classes: Vec<&v1::ClassView> = status.classes.iter().collect();
@@ -181,7 +188,7 @@
     let rows = classes.into_iter().map(|class| {
         let oldest = match class.waiting {
             0 => "-".to_owned(),
-            _ => units::show_ms(class.oldest_ms),
+            _ => units::format_ms(class.oldest_ms),
         };
         [class.class.clone(), class.waiting.to_string(), oldest, class.running.to_string()]
     });
--- a/lilacpass-lead/src/polling.rs
+++ b/lilacpass-lead/src/polling.rs
@@ -60,8 +60,8 @@
                     log::info!(worker:% = name, error:? = err; "worker does not respond");
                 }
                 if !extra {
-                    // Polls again at once after the first failure: perhaps only the response was lost, and the ends
-                    // that it listed are not known before the next one.
+                    // Polls again at once after the first failure: perhaps only the response was lost, and the leader
+                    // learns of the ends that it listed only from the next one.
                     let pauses = u64::from(worker.failed_polls - 1).min(MAX_RETRY_PAUSES);
                     worker.poll = PollState::Due { at_ms: now.steady_ms + retry_pause_ms * pauses };
                 }
@@ -124,7 +124,7 @@
         }
         let lists_all_ends = response.ends.len() < MAX_LISTED_ENDS;
         let mut listed_runs: Vec<RunKey> =
-            response.running.iter().map(|row| (row.task, row.run)).collect();
+            response.running.iter().map(|reported| (reported.task, reported.run)).collect();
         listed_runs.sort_unstable();
         self.handle_ends(name, response.ends, now);
         self.handle_running(name, &response.running, now);
@@ -138,8 +138,8 @@
     /// worker is still polled now and then, so that the leader learns of other ends while the store is slow.
     fn delay_poll_until_ends_stored(&mut self, name: &WorkerName, now: Now) {
         let per_worker_ms = self.workers.len() as u64 * 1_000 / MAX_POLLS_PER_SECOND_WHILE_STORING;
-        let longest_ms = self.options.poll_unrecorded_max_ms;
-        let pause_ms = per_worker_ms.clamp(self.options.poll_unrecorded_min_ms, longest_ms);
+        let max_pause_ms = self.options.poll_unrecorded_max_ms;
+        let pause_ms = per_worker_ms.clamp(self.options.poll_unrecorded_min_ms, max_pause_ms);
         let Some(worker) = self.workers.get_mut(name) else { return };
         if worker.last_seen_end > worker.last_stored_end && worker.poll != PollState::InFlight {
             worker.poll = PollState::Due { at_ms: now.steady_ms + pause_ms };
@@ -150,14 +150,14 @@
     fn handle_ends(&mut self, name: &WorkerName, ends: Vec<ReportedEnd>, now: Now) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let last_seen_end = worker.last_seen_end;
-        let new: Vec<ReportedEnd> =
-            ends.into_iter().filter(|row| row.number > last_seen_end).collect();
-        let Some(up_to) = new.iter().map(|row| row.number).max() else { return };
+        let unseen: Vec<ReportedEnd> =
+            ends.into_iter().filter(|reported| reported.number > last_seen_end).collect();
+        let Some(up_to) = unseen.iter().map(|reported| reported.number).max() else { return };
         worker.last_seen_end = up_to;
-        for row in new {
-            self.record_job_started(row.task.step.job);
-            self.update_worker_health(name, row.task.step.job, row.end.reason, now);
-            self.end_run(name, (row.task, row.end.run), &row.end, now);
+        for reported in unseen {
+            self.record_job_started(reported.task.step.job);
+            self.update_worker_health(name, reported.task.step.job, reported.end.reason, now);
+            self.end_run(name, (reported.task, reported.end.run), &reported.end, now);
         }
         self.outbox.when_stored(OnStored::ForgetEnds { worker: name.clone(), up_to });
     }
@@ -194,8 +194,11 @@
         if let Some(entry) = self.jobs.get_mut(&job) {
             entry.failed_on.insert(name.clone(), now.steady_ms);
         }
-        let quarantined =
-            self.workers.values().filter(|w| w.health.is_quarantined(now.steady_ms)).count();
+        let quarantined = self
+            .workers
+            .values()
+            .filter(|worker| worker.health.is_quarantined(now.steady_ms))
+            .count();
         let may_quarantine =
             (quarantined + 1) * health::MIN_WORKERS_PER_QUARANTINE <= self.workers.len();
         let jobs = &self.jobs;
@@ -214,19 +217,19 @@
     }
 
     /// Updates runs from the list of running runs in a response.
-    fn handle_running(&mut self, name: &WorkerName, rows: &[ReportedRun], now: Now) {
-        for row in rows {
-            let key = (row.task, row.run);
-            self.record_job_started(row.task.step.job);
-            if let Some(entry) = self.jobs.get_mut(&row.task.step.job) {
-                entry.job.update_checkpoint(row.task, &row.checkpoint);
+    fn handle_running(&mut self, name: &WorkerName, runs: &[ReportedRun], now: Now) {
+        for reported in runs {
+            let key = (reported.task, reported.run);
+            self.record_job_started(reported.task.step.job);
+            if let Some(entry) = self.jobs.get_mut(&reported.task.step.job) {
+                entry.job.update_checkpoint(reported.task, &reported.checkpoint);
             }
             let Some(worker) = self.workers.get_mut(name) else { return };
             let Some(assigned) = worker.runs.get_mut(&key) else {
                 self.stop_orphaned_run(name, key, now);
                 continue;
             };
-            assigned.update_progress(row.percent, now.steady_ms);
+            assigned.update_progress(reported.percent, now.steady_ms);
             if matches!(assigned.phase, Phase::Ordered | Phase::Uncertain { .. }) {
                 assigned.set_phase(Phase::Running { since_ms: now.steady_ms });
             }
@@ -240,7 +243,7 @@
     fn stop_orphaned_run(&mut self, name: &WorkerName, key: RunKey, now: Now) {
         let need = self.need_of(key.0);
         let Some(worker) = self.workers.get_mut(name) else { return };
-        log::warn!(task:% = key.0, run = key.1, worker:% = name; "orphaned run");
+        log::warn!(task:% = key.0, run = key.1, worker:% = name; "stopping an orphaned run");
         worker.assign(key, need, Phase::Running { since_ms: now.steady_ms });
         self.capacity_index.update(worker);
         self.stop_run(name, key, now);
@@ -349,8 +352,8 @@
         gone.iter().for_each(|name| self.forget_worker(name));
     }
 
-    /// Presumes that workers are gone to which a former leader assigned runs, that are not registered, and that have
-    /// not responded to this leader, once this has lasted for the time in which a live worker registers again.
+    /// Presumes that a worker of a former leader is gone if it is not registered and has not responded to this leader
+    /// for the time in which a live worker would have registered again.
     ///
     /// Such a worker can be alive only if a former leader still extends its leases and both are cut off from this
     /// leader and from the store. But then other workers of its data centre would not respond to this leader either,
@@ -396,8 +399,8 @@
         } else {
             (options.poll_wait_ms, options.poll_answer_ms)
         };
-        let due: Vec<WorkerName> = self.unpolled_workers.iter().cloned().collect();
-        for name in due {
+        let unpolled: Vec<WorkerName> = self.unpolled_workers.iter().cloned().collect();
+        for name in unpolled {
             let Some(worker) = self.workers.get_mut(&name) else {
                 self.unpolled_workers.remove(&name);
                 continue;
--- a/lilacpass-lead/tests/world/worker.rs
+++ b/lilacpass-lead/tests/world/worker.rs
@@ -40,7 +40,7 @@
     pub address: String,
     /// The capacity that it registers.
     pub capacity: Resources,
-    /// Capacities before reductions, each with the time until which it still counts.
+    /// Capacities before changes, each with the time in ms until which it still counts.
     earlier_capacities: Vec<(u64, Resources)>,
     pub alive: bool,
     /// Whether no call reaches it, while its runs go on.
@@ -70,9 +70,9 @@
     /// Number of the last run of each task that ended or was stopped here.
     last_ended_run: BTreeMap<TaskName, u32>,
     clock_ms: u64,
-    /// Runs that ended because their lease had expired.
+    /// Number of runs that ended because their lease had expired.
     pub expired_run_count: u64,
-    /// Stop orders for active runs.
+    /// Number of stop orders for active runs.
     pub stopped: u64,
 }
 
@@ -201,12 +201,12 @@
         if let Some(until_ms) = lease_until_ms {
             self.lease_until_ms = self.lease_until_ms.max(until_ms);
         }
-        for row in self.ends.iter().filter(|row| row.number <= forget_up_to) {
-            if row.end.reason == EndReason::Done && row.number > self.last_end_at_expiry {
-                self.stored_done.insert(row.task);
+        for reported in self.ends.iter().filter(|reported| reported.number <= forget_up_to) {
+            if reported.end.reason == EndReason::Done && reported.number > self.last_end_at_expiry {
+                self.stored_done.insert(reported.task);
             }
         }
-        self.ends.retain(|row| row.number > forget_up_to);
+        self.ends.retain(|reported| reported.number > forget_up_to);
         let running = self.runs.iter().map(|(task, run)| ReportedRun {
             task: *task,
             run: run.run,
