--- a/lilacpass-node/src/append.rs
+++ b/lilacpass-node/src/append.rs
@@ -27,7 +27,7 @@
 /// to be slower. It bounds how long after the end of an outage the append is stored. When only the response to the last
 /// attempt was awaited, for up to 3 s, all jobs submitted in the 3 s after an outage of 4 s were lost.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// Timeout of a single attempt, in addition to the allowance for its transfer time.
+/// Timeout of a single attempt, not counting the allowance for its transfer time.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// An append is sent again after this many times its transfer time on this instance's link, in addition to the latency.
 /// Other traffic shares the link.
--- a/lilacpass-node/src/desired_relay.rs
+++ b/lilacpass-node/src/desired_relay.rs
@@ -25,8 +25,8 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Timeout for the beginning of a response, and for each pause within it.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Pause after a call that returned no desired state. Jitter is added, so that the instances of a data centre that is
-/// cut off do not send their requests at the same time.
+/// Pause after each call, unless the peer asks for a longer one. Jitter is applied to it, so that the instances of a
+/// data centre that is cut off do not send their requests at the same time.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 /// Share of the instance's own link that responses may use; the rest is left to heartbeats and client requests.
 const LINK_SHARE: f64 = 0.5;
--- a/lilacpass-node/src/election.rs
+++ b/lilacpass-node/src/election.rs
@@ -125,7 +125,7 @@
             () = &mut campaign => return,
             () = time::sleep(HEARTBEAT_INTERVAL) => {}
         }
-        // The heartbeat updates the node itself; the main loop acts on the next one.
+        // The heartbeat has updated the node. `run` acts on the result of its own next heartbeat.
         let _result = send_heartbeat(node, address, epoch).await;
     }
 }
@@ -171,7 +171,9 @@
     }
 }
 
-/// Takes over if the leader's record is not renewed within `renewal_wait`.
+/// Takes over unless a new record is written in the leader partition within `renewal_wait`, which is zero if no renewal
+/// is expected. The wait is extended for a slow store, after the announcement of another instance, and if this instance
+/// is small.
 async fn campaign(node: &Rc<Node>, renewal_wait: Duration) {
     let partition = takeover::lead_partition();
     let requested_at = Instant::now();
--- a/lilacpass-node/src/frontend.rs
+++ b/lilacpass-node/src/frontend.rs
@@ -33,8 +33,9 @@
 const MAX_FORWARD_UNRESPONSIVE_MS: u64 = 500;
 /// Retry-After, in seconds, before the first desired state is known.
 const NO_DESIRED_STATE_RETRY_S: u64 = 1;
-/// An instance is not ready if its leader has not responded for this long, in milliseconds. The platform redirects
-/// clients only after the instance has been unready for a second or two, by when a lost leader has long been replaced.
+/// An instance is not ready if its leader has not responded for this long, in milliseconds; a leader is not ready if
+/// the store has been failing for this long. The platform redirects clients only after the instance has been unready
+/// for a second or two. By then a lost leader has long been replaced.
 const MAX_READY_UNRESPONSIVE_MS: u64 = 400;
 
 /// Answers the platform's readiness check.
--- a/lilacpass-node/src/node.rs
+++ b/lilacpass-node/src/node.rs
@@ -86,8 +86,8 @@
     pub leader_store_reachable: Cell<bool>,
     /// Time of the last response of the store, on the steady clock.
     pub last_store_response_ms: Cell<u64>,
-    /// Time since which the store has been refusing all calls, on the steady clock; `None` if it responded to the last
-    /// one.
+    /// Time since which the store has been refusing all calls, on the steady clock; `None` if it has refused none
+    /// since its last response.
     pub store_failing_since_ms: Cell<Option<u64>>,
     /// Estimated latency of an append to the store.
     pub append_latency: Cell<Duration>,
@@ -112,8 +112,9 @@
     pub metrics: Metrics,
 }
 
-/// How long the leader considers the store reachable after a response of the store, in milliseconds. The watch for the
-/// desired state receives a response at least every two seconds, and renewals several a second.
+/// How long the leader considers the store reachable after a response of the store, in milliseconds. The leader's
+/// renewals receive several responses a second; the watch for the desired state alone receives at least one every two
+/// seconds.
 const STORE_REACHABLE_MS: u64 = 900;
 
 impl Node {
@@ -306,7 +307,8 @@
     }
 }
 
-/// As [`STORE_REACHABLE_MS`], for an instance that does not lead, and so calls the store less often.
+/// As [`STORE_REACHABLE_MS`], for an instance that does not lead. If the store is reachable, such an instance receives
+/// a response at least this often, from the watch for the desired state.
 const FOLLOWER_STORE_REACHABLE_MS: u64 = 3_000;
 
 fn parse(address: &str) -> io::Result<SocketAddr> {
--- a/lilacpass-node/src/orders.rs
+++ b/lilacpass-node/src/orders.rs
@@ -49,7 +49,7 @@
     let execution_timeout = Duration::from_millis(poll.wait_ms + poll.response_timeout_ms);
     match relay_client::execute(node, &relay, order, execution_timeout).await {
         RelayResult::Outcome(Ok(Some(response))) => Ok(response),
-        // The relay reported the outcome of some other order.
+        // The relay reported success without a poll response, as it does for orders that are not polls.
         RelayResult::Outcome(Ok(None)) => Err(CallError::Failed(Verdict::MayHaveRun)),
         RelayResult::Outcome(Err(err)) => {
             if matches!(err, CallError::Failed(_)) {
--- a/lilacpass-node/src/peers.rs
+++ b/lilacpass-node/src/peers.rs
@@ -35,7 +35,8 @@
 /// Added to the timeout of an advice call for the round trip to the peer.
 const HOP_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Maximum size of the body of a message from a peer: enough for 500 starts with the longest job payload.
+/// Maximum size of the body of a message from a peer: enough for 500 starts with the longest job payload,
+/// and some to spare.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// Limits on what peers may send.
--- a/lilacpass-node/src/registered_workers.rs
+++ b/lilacpass-node/src/registered_workers.rs
@@ -6,8 +6,8 @@
 use lilacpass_lead::{Event, event::Registration};
 use lilacpass_platform::{registry, store::StoredRecord};
 
-/// Number of consecutive full reads that must lack a worker before it counts as gone. After the store has recovered,
-/// entries may appear late.
+/// Number of consecutive full reads that must lack a worker before it counts as gone, because entries may appear late
+/// after the store has recovered. A record that removes the entry counts as the first of them.
 const MIN_MISSED_READS: u32 = 2;
 
 /// The registered workers.
--- a/lilacpass-node/src/relay_choice.rs
+++ b/lilacpass-node/src/relay_choice.rs
@@ -1,6 +1,6 @@
 //! Selects the instances that relay the leader's orders to workers.
 //!
-//! In a cell of hundreds of workers thousands of polls and starts are sent each second, and some leaders have thin
+//! In a cell of hundreds of workers, thousands of polls and starts are sent each second, and some leaders have thin
 //! links. Each order is a call of its own, and each start carries the payload of its job. The leader's CPU or link is
 //! therefore saturated by orders long before it is saturated by scheduling. When a few other instances send the orders,
 //! many orders share one message to a relay. Relaying delays an order by a few hundredths of a second, so a leader with
--- a/lilacpass-node/src/relays.rs
+++ b/lilacpass-node/src/relays.rs
@@ -44,7 +44,8 @@
 /// Result of an order sent through a relay.
 #[derive(Debug)]
 pub enum RelayResult {
-    /// The relay executed the order; for a poll that succeeded, with the worker's response.
+    /// The relay reported the outcome of the order, which may be a failure; for a poll that succeeded, it contains the
+    /// worker's response.
     Outcome(Result<Option<PollResponse>, CallError>),
     /// The relay reported no outcome. The verdict says whether the order may have been executed.
     Lost(Verdict),
--- a/lilacpass-node/src/takeover.rs
+++ b/lilacpass-node/src/takeover.rs
@@ -167,8 +167,8 @@
     ) -> Option<()> {
         log::info!(what = call, error:% = err; "store call during a take-over failed");
         let now = Instant::now();
-        // A long response may have been arriving until it broke off, so at most one call timeout before the failure
-        // counts as failing.
+        // A long response may have been arriving until it broke off. Of the time before this failure, no more than one
+        // [`CALL_TIMEOUT`] counts as time without success.
         let earliest = now.checked_sub(CALL_TIMEOUT).unwrap_or(self.last_response);
         let failing_since = *self.failing_since.get_or_insert(earliest.max(self.last_response));
         if now - failing_since > MAX_FAILURE_TIME {
@@ -184,7 +184,7 @@
 struct JobRecords {
     plans: HashMap<JobKey, (u64, Vec<u8>)>,
     states: HashMap<JobKey, (u64, Vec<u8>)>,
-    /// Whether records are being read that were written after the read of the first page.
+    /// Whether the tail is being read: the records that were written after the first page had been read.
     reading_tail: bool,
     /// Whether another instance has taken over since the read started.
     other_leader_seen: bool,
--- a/lilacpass-node/tests/desired_watch.rs
+++ b/lilacpass-node/tests/desired_watch.rs
@@ -73,7 +73,7 @@
 
 /// Guards against an instance that tells its clients for seconds that a queue which was added long ago does not exist.
 /// The instance could not reach the store while operators published a dozen versions. It then read all of them in
-/// order, although only the last one matters.
+/// order, each as long as the last, although only the last one matters.
 #[test]
 fn a_lagging_instance_skips_to_the_newest_desired_state() {
     /// Enough to read one outdated version, to pause, and to read the newest one.
--- a/lilacpass-node/tests/relays.rs
+++ b/lilacpass-node/tests/relays.rs
@@ -210,8 +210,8 @@
     });
 }
 
-/// Orders and outcomes that are damaged, incomplete, or of another epoch are rejected or ignored, and jobs still
-/// complete.
+/// Orders and outcomes that are damaged, incomplete, of another epoch, or that no instance asked for are rejected or
+/// ignored, and jobs still complete.
 #[test]
 fn foreign_and_damaged_relay_messages_are_harmless() {
     cluster::run(FIRST_PORT + 250, &CPU_SHARES, async |mut cluster| {
