--- a/lilacpass-lead/src/advance_reservations.rs
+++ b/lilacpass-lead/src/advance_reservations.rs
@@ -1,8 +1,8 @@
 //! Advance reservations: capacity that is still in use is reserved for a step that has waited for long.
 //!
 //! Load pattern: a full pool of small tasks, each of which is replaced as soon as it ends. The capacity for a task that
-//! needs most of a worker, or for a step that may run on one worker only, never becomes free at once. Such a step
-//! reserves capacity on the worker that will have enough first, and only more urgent work may still use it.
+//! needs most of a worker, or for a step that may run on one worker only, never becomes free all at the same time. Such
+//! a step reserves capacity on the worker that will have enough first, and only more urgent work may still use it.
 
 use lilacpass_core::Resources;
 use lilacpass_jobs::{StepName, WorkerName};
--- a/lilacpass-lead/src/advice.rs
+++ b/lilacpass-lead/src/advice.rs
@@ -14,9 +14,9 @@
 const SLOW_CALL_MS: u64 = 120;
 /// One lane in this many is reserved for quick calls, which need about a third of the total call time.
 const LANES_PER_QUICK_LANE: usize = 3;
-/// Maximum share of the lanes for slow calls that one queue may hold, in percent. Steps that find no free capacity call
-/// again as soon as their tickets have expired. Sixty such steps once held all lanes for seven seconds, and a step of
-/// another queue could not start although workers were free.
+/// Maximum share of the lanes for slow calls that one queue may hold, in percent. Steps that find no free capacity
+/// request advice again as soon as their tickets have expired. Sixty such steps once held all lanes for seven seconds,
+/// and a step of another queue could not start although workers were free.
 const MAX_QUEUE_SLOW_LANES_PERCENT: usize = 67;
 /// Pause in ms after a failed call for advice before the next call for the same step.
 const RETRY_MS: u64 = 200;
--- a/lilacpass-lead/src/advice_queue.rs
+++ b/lilacpass-lead/src/advice_queue.rs
@@ -16,7 +16,7 @@
 /// Waiting steps without a pending call for advice.
 #[derive(Debug, Default)]
 pub struct AdviceQueue {
-    /// One group per job queue and call time. There are only dozens, so groups are never removed.
+    /// One group per job queue and minimum call duration. There are only dozens, so groups are never removed.
     groups: Vec<Group>,
     /// Steps that may request advice only later, with that time in ms on the monotonic clock.
     delayed: BTreeSet<(u64, StepName)>,
@@ -96,7 +96,7 @@
             .min()
     }
 
-    /// Returns the index of the group for a job queue and call time, and adds the group if it is new.
+    /// Returns the index of the group for a job queue and minimum call duration, and adds the group if it is new.
     fn group_index(&mut self, queue: &str, base_ms: u64) -> usize {
         let matches = |group: &Group| group.queue == queue && group.base_ms == base_ms;
         if let Some(at) = self.groups.iter().position(matches) {
--- a/lilacpass-lead/src/advice_requests.rs
+++ b/lilacpass-lead/src/advice_requests.rs
@@ -20,15 +20,15 @@
 const INITIAL_ALLOWED_SHARE: f64 = 0.5;
 /// Weight of a new response in the moving average of the allowed share.
 const ALLOWED_SHARE_WEIGHT: f64 = 0.1;
-/// Factor by which the capacity of the named workers should exceed that of the waiting tasks, because other steps take
-/// some of it before the response arrives.
+/// The allowed workers among those named should have capacity for this many times the waiting tasks, because other
+/// steps take some of it before the response arrives.
 const TASK_MARGIN: f64 = 1.5;
-/// Longer calls are not made before their step may start, because tickets expire after about 2 s and time on the lanes
-/// for long calls is scarce.
+/// Calls with a minimum duration above this are not made before their step may start, because tickets expire after
+/// about 2 s and time on the lanes for slow calls is scarce.
 const MAX_EARLY_CALL_MS: f64 = 50.0;
 /// Share of the minimum duration of a call that may be added for workers without enough free capacity.
 const EXTRA_WORKERS_TIME_SHARE: f64 = 0.5;
-/// Minimum number of tasks that the named workers should have capacity for.
+/// Minimum number of tasks that the allowed workers among those named should have capacity for.
 const MIN_TARGET_TASKS: u64 = 4;
 
 impl Leader {
--- a/lilacpass-lead/src/candidates.rs
+++ b/lilacpass-lead/src/candidates.rs
@@ -22,8 +22,8 @@
 const RATE_ALL_DIVISOR: usize = 8;
 
 /// Maximum number of workers that are tried in order of preference before all workers are rated instead. Trying a
-/// worker this way costs several times as much, and a step that already has advice about all workers with enough free
-/// capacity would search in vain again and again.
+/// worker this way costs several times as much as rating it in a scan of all workers, and a step that already has
+/// advice about all workers with enough free capacity would search in vain again and again.
 const MAX_PREFERRED_TRIES: usize = 32;
 
 /// How many tasks a call for advice should find workers for.
--- a/lilacpass-lead/src/capacity_index.rs
+++ b/lilacpass-lead/src/capacity_index.rs
@@ -2,7 +2,7 @@
 //! without a scan of all workers.
 //!
 //! Load pattern: a full cell of a thousand workers, in which hundreds of steps look for capacity again and again and
-//! hardly any worker has some.
+//! hardly any worker has free capacity.
 
 use std::{
     cmp::Reverse,
@@ -17,7 +17,7 @@
 /// If more than one worker in this many fits, a scan of all workers is faster than sorting those that fit.
 const INDEX_LOOKUP_DIVISOR: usize = 8;
 
-/// Index of the workers of each pool that can get work.
+/// Index of the workers that can get work, by pool.
 #[derive(Debug, Default)]
 pub struct CapacityIndex {
     /// One pool per service. There are only a few, so pools are never removed.
@@ -97,7 +97,7 @@
     }
 
     /// Returns the workers of a service on which `need` fits, in order of preference: workers in the home data centre
-    /// first, then by accelerators in use, free share of CPU, and name.
+    /// first, then those with more accelerators in use, with a greater free share of CPU, and by name.
     pub fn by_preference(
         &self,
         service: &str,
--- a/lilacpass-lead/src/crash_suspicion.rs
+++ b/lilacpass-lead/src/crash_suspicion.rs
@@ -3,10 +3,10 @@
 //! Load pattern: a task crashes every worker that starts it. Other tasks on these workers see as many crashes as that
 //! task if they are started often enough.
 //!
-//! A task is proved harmless for the moment when its worker still responds a while after its start. A task for which
-//! this had not happened when the worker crashed is a suspect; if there is one, the other tasks are cleared. Workers
-//! that are lost with their rack, by a network partition or by a rolling restart stop responding at the same time, and
-//! some of them had no suspect; then no task is suspected.
+//! A task counts as harmless for now once its worker still responds a while after its start. A task that had not got
+//! that far when the worker crashed is a suspect; if there is one, the other tasks are cleared. Workers that are lost
+//! with their rack, by a network partition or by a rolling restart stop responding at the same time. If some of them
+//! had no suspect, the loss has a common cause and no task is suspected.
 
 use std::collections::BTreeSet;
 
--- a/lilacpass-lead/src/event.rs
+++ b/lilacpass-lead/src/event.rs
@@ -201,9 +201,9 @@
         /// The request itself.
         request: Request,
     },
-    /// The store has stored the records of the pending append.
+    /// The store has stored the records of the append in flight.
     Appended,
-    /// The store has definitely not stored any record of the pending append.
+    /// The store has definitely not stored any record of the append in flight.
     NotAppended,
     /// The store has confirmed that this instance was still the leader when the call was sent.
     LeadershipConfirmed {
--- a/lilacpass-lead/src/health.rs
+++ b/lilacpass-lead/src/health.rs
@@ -24,7 +24,7 @@
 /// The evidence against a worker, and its quarantine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WorkerHealth {
-    /// Jobs that have failed or stalled on the worker since a run last succeeded there.
+    /// Jobs that have failed or stalled on the worker since a run last succeeded there or a quarantine began.
     pub failed_jobs: BTreeSet<JobKey>,
     /// The worker gets no runs before this time, on the monotonic clock.
     pub quarantined_until_ms: u64,
@@ -63,8 +63,8 @@
         evidence >= required
     }
 
-    /// Starts a quarantine, and clears the failed jobs. It is longer than the one before unless a run has succeeded
-    /// since.
+    /// Starts a quarantine, and clears the failed jobs. The length doubles with each quarantine since a run last
+    /// succeeded, at most `MAX_QUARANTINE_DOUBLINGS` times.
     pub fn quarantine(&mut self, now_ms: u64) {
         let quarantine_ms = FIRST_QUARANTINE_MS << self.quarantines.min(MAX_QUARANTINE_DOUBLINGS);
         self.quarantined_until_ms = now_ms + quarantine_ms;
--- a/lilacpass-lead/src/inspect.rs
+++ b/lilacpass-lead/src/inspect.rs
@@ -21,14 +21,14 @@
     pub not_begun_jobs: BTreeMap<String, u64>,
     /// Number of steps that wait for capacity or advice.
     pub waiting_steps: u64,
-    /// Number of tasks that run on trial without other suspected tasks, because workers have crashed while running
-    /// them.
+    /// Number of tasks on trial because they may crash their workers. Nothing else is started on the worker of such a
+    /// task meanwhile.
     pub tasks_on_trial: u64,
     /// Number of runs on workers by phase.
     pub runs: BTreeMap<&'static str, u64>,
     /// The state of each worker.
     pub workers: Vec<WorkerStatus>,
-    /// Time in ms for which the store has not responded to an append.
+    /// Time in ms for which the store has not stored the current append, including repetitions after refusals.
     pub store_stuck_ms: u64,
     /// Time in ms since the store last confirmed that this instance leads.
     pub confirmed_ago_ms: u64,
--- a/lilacpass-lead/src/leader.rs
+++ b/lilacpass-lead/src/leader.rs
@@ -322,7 +322,8 @@
             < self.options.unconfirmed_lease_ms
     }
 
-    /// How long the store has not confirmed the pending append, in ms; 0 if none is pending.
+    /// How long the current append has not been stored, in ms, including repetitions after refusals; 0 if there is
+    /// none.
     pub fn store_stuck_ms(&self, now: Now) -> u64 {
         self.outbox.stuck_ms(now.steady_ms)
     }
--- a/lilacpass-lead/src/lost_workers.rs
+++ b/lilacpass-lead/src/lost_workers.rs
@@ -204,9 +204,9 @@
         }
     }
 
-    /// Ends the runs on a worker whose leases have expired, so that they start elsewhere. The worker may not have been
-    /// noticed to be unresponsive yet. Whether it crashed or was unreachable is known once it or another incarnation of
-    /// it responds.
+    /// Ends the runs on a worker whose leases have expired, so that they start elsewhere. The leader may not have
+    /// noticed yet that the worker is unresponsive. Whether it crashed or was unreachable is known once it or another
+    /// incarnation of it responds.
     pub(crate) fn expire_worker(&mut self, name: &WorkerName, now: Now) {
         let Some(worker) = self.workers.get(name) else { return };
         let may_have_crashed = !worker.draining;
--- a/lilacpass-lead/src/options.rs
+++ b/lilacpass-lead/src/options.rs
@@ -6,7 +6,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
     /// Duration to which each call to a worker extends the leases there. It must be longer than a take-over, which
-    /// takes about 2 s, but short, because the work on a dead worker can only restart once its leases have expired.
+    /// takes about 2 s, with time to spare, but short, because the work on a dead worker can only restart once its
+    /// leases have expired.
     pub lease_ms: u64,
     /// Duration of the leases on a draining worker. Once such a worker is unresponsive and unregistered, it has either
     /// left or is cut off and keeps working. Its tasks can start elsewhere only after its leases have expired, so these
@@ -28,8 +29,8 @@
     pub poll_answer_lossy_ms: u64,
     /// Pause after a failed poll before the next one.
     pub poll_retry_ms: u64,
-    /// Minimum pause between polls of a worker whose reported ends are not stored yet. A poll may report the ends of
-    /// other tasks, while an ordinary append takes 8 ms and a slow one 0.7 s.
+    /// Minimum pause between polls of a worker whose reported ends are not stored yet. It is still polled because it
+    /// may report the ends of other tasks. An ordinary append takes 8 ms, a slow one 0.7 s.
     pub poll_unrecorded_min_ms: u64,
     /// Maximum of that pause, which grows with the number of workers.
     pub poll_unrecorded_max_ms: u64,
--- a/lilacpass-lead/src/orders.rs
+++ b/lilacpass-lead/src/orders.rs
@@ -122,8 +122,8 @@
     /// the call and then by the rest of the lease.
     ///
     /// Unresponsive workers don't count while others in their data centre respond. If one response in twenty is lost,
-    /// several of a hundred workers are unresponsive at any moment, and without this condition their neighbours got no
-    /// starts, twenty times a second.
+    /// several of a hundred workers are unresponsive at any moment, and without this condition starts on their
+    /// neighbours were held back twenty times a second.
     pub(crate) fn suspect_data_centre(&mut self, name: &WorkerName, now: Now) {
         /// A data centre is unresponsive if none of its workers has responded for this long. Sixteen idle workers
         /// together answer twenty polls a second.
--- a/lilacpass-lead/src/polling.rs
+++ b/lilacpass-lead/src/polling.rs
@@ -95,8 +95,8 @@
         {
             self.pending_changes.mark_worker_freed(name);
         }
-        // The worker may have answered a poll that was sent earlier before the rest of its data centre became
-        // unreachable.
+        // Only a poll that was sent after the suspicion began counts: an earlier one may have been answered before the
+        // rest of the data centre became unreachable.
         if sent_ms + self.options.worker_avoidance_ms > worker.suspected_until_ms {
             worker.suspected_until_ms = 0;
         }
@@ -162,7 +162,7 @@
         self.outbox.when_stored(OnStored::ForgetEnds { worker: name.clone(), up_to });
     }
 
-    /// Updates the failure evidence against a worker and for a job after a run has ended.
+    /// Updates, after a run has ended, the evidence against its worker and the workers on which its job has failed.
     pub(crate) fn update_worker_health(
         &mut self,
         name: &WorkerName,
--- a/lilacpass-lead/tests/leader_regressions.rs
+++ b/lilacpass-lead/tests/leader_regressions.rs
@@ -387,8 +387,8 @@
     assert!(after[0] < before[0] / 2, "{after:?} and {before:?}");
 }
 
-/// Failure: no client was served as long as the load stayed high. A busy leader took responses that waited in its own
-/// queue for lost ones, polled more often for that reason, and was even busier.
+/// Failure: no client was served as long as the load stayed high. A busy leader counted responses that waited in its
+/// own queue as lost, polled more often for that reason, and was even busier.
 #[test]
 fn a_busy_leader_does_not_take_its_own_lateness_for_lost_responses() {
     let workers = ["w-0", "w-1", "w-2", "w-3"];
--- a/lilacpass-lead/tests/overload.rs
+++ b/lilacpass-lead/tests/overload.rs
@@ -129,8 +129,8 @@
     test_overload(20);
 }
 
-/// As above, with jobs that a former leader accepted long ago and for which there is no free capacity. Examining all of
-/// it takes `times` the interval between two full rounds. Each waiting job should start as capacity becomes free.
+/// As above, with jobs that a former leader accepted long ago and for which there is no free capacity. Examining them
+/// all takes `times` the interval between two full rounds. Each waiting job should start as capacity becomes free.
 fn test_backlog(times: u64) {
     /// Interval between the leader's full rounds.
     const FULL_ROUND_INTERVAL_US: u64 = 100_000;
@@ -169,7 +169,7 @@
 }
 
 /// Creates a cell in which all workers are full and one becomes free every `freed_interval_ms` from now on. `backlog`
-/// tasks wait that need `cpu_milli` of a worker's 8,000, as much as the running ones.
+/// tasks wait that need `cpu_milli`, as much as the running ones. A worker has 8,000 thousandths of a core.
 fn full_cell(cpu_milli: u32, freed_interval_ms: u64, backlog: u64) -> World {
     /// By this time the leader has adapted the number of steps that a round may examine.
     const FIRST_END_MS: u64 = 3_000;
--- a/lilacpass-lead/tests/same_decisions.rs
+++ b/lilacpass-lead/tests/same_decisions.rs
@@ -67,7 +67,7 @@
     for _ in 0..=random.below(3) {
         steps.push(random_step(random));
     }
-    // Members of a gang end one by one in the simulated cell, so no step may wait for one.
+    // Members of a gang end one by one in the simulated cell, so no step may depend on a gang.
     if random.percent(10) {
         steps.push(v1::WorkStep { gang: true, ..step(2, 2_000, 400) });
     }
--- a/lilacpass-lead/tests/world/mod.rs
+++ b/lilacpass-lead/tests/world/mod.rs
@@ -1,9 +1,9 @@
 //! A simulated cell: leader instances, a store and workers in simulated time, with faults that tests switch on.
 //!
-//! Each start of a run is checked as it happens. No worker exceeds its capacity; no task runs on two workers unless it
-//! may have copies; none starts again after its end was stored, before the steps that it waits for are done, or too
-//! often after it has crashed workers. Each response about waiting or running jobs is checked against the tasks that
-//! workers have started.
+//! Each start of a run is checked as it happens. No worker exceeds its capacity. No task runs on two workers unless it
+//! may have copies, starts again after its successful end was stored, starts before the steps that it waits for are
+//! done, or starts too often after it has crashed workers. Each response about waiting or running jobs is checked
+//! against the tasks that workers have started.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -204,7 +204,7 @@
         );
     }
 
-    /// Removes the registration of a worker from the store.
+    /// Tells the leader that the store has dropped the registration of a worker from which it got no heartbeat.
     pub fn unregister(&mut self, worker_index: usize) {
         let instance = self.instances.len() - 1;
         self.deliver(instance, Event::WorkerUnregistered(self.workers[worker_index].name.clone()));
@@ -531,7 +531,7 @@
             );
             assert!(
                 !worker.stored_done.contains(&task),
-                "{task} starts again after its end was stored"
+                "{task} starts again after its successful end was stored"
             );
         }
         let need = lilacpass_lead::place::need(plan);
--- a/lilacpass-lead/tests/world/worker.rs
+++ b/lilacpass-lead/tests/world/worker.rs
@@ -10,8 +10,8 @@
 
 /// Time that a run takes to stop.
 const STOP_MS: u64 = 100;
-/// Time for which an earlier capacity still counts after a reduction: until the leader has learned of it with a
-/// heartbeat.
+/// Time for which an earlier capacity still counts after a reduction: the time that all may need to learn of it, and
+/// one heartbeat.
 const CAPACITY_CHANGE_MS: u64 = 4_500;
 /// Offset of the worker's clock, so that tests fail if the leader's clock and the worker's are mixed up.
 const CLOCK_OFFSET_MS: u64 = 500_000;
