--- a/lilacpass-lead/src/health.rs
+++ b/lilacpass-lead/src/health.rs
@@ -1,8 +1,8 @@
 //! Evidence of faulty workers, as opposed to jobs that fail anywhere and to occasional failures.
 //!
-//! Load pattern: some workers fail everything that they start at once, so they look idle and attract ever more work.
-//! At the same time some jobs fail wherever they run. A task has few attempts, and each one wasted on a faulty worker
-//! brings its job closer to failing without need.
+//! Load pattern: some workers immediately fail everything that they start, so they look idle and attract ever more
+//! work. At the same time some jobs fail wherever they run. A task has few attempts, and each one wasted on a faulty
+//! worker brings its job closer to failing without need.
 //!
 //! The evidence against a worker is that several jobs have failed there that have not failed elsewhere. A single
 //! successful run clears it.
