--- a/lilacpass-cli/src/api/client.rs
+++ b/lilacpass-cli/src/api/client.rs
@@ -75,8 +75,8 @@
         self.get_with_timeout(path, self.timeout).await
     }
 
-    /// Sends a GET request for `path` with its own timeout, for requests that the server holds open until something
-    /// changes.
+    /// Sends a GET request for `path` with its own timeout, for requests that the server holds open, such as one that
+    /// waits for the end of a job.
     pub async fn get_with_timeout(&mut self, path: &str, timeout: Duration) -> Result<Value> {
         let request = Request { timeout, ..self.request(Method::GET, path) };
         self.send(&request, RetryPolicy::Idempotent, None).await
--- a/lilacpass-cli/src/args.rs
+++ b/lilacpass-cli/src/args.rs
@@ -108,7 +108,7 @@
     Drain(DrainArgs),
     /// List the latest accepted configuration changes
     Changes,
-    /// List the audit trail: who requested which change, and whether it was accepted
+    /// List the audit trail: who requested what, and whether it was accepted
     Audit(AuditArgs),
     /// Manage access tokens
     #[command(subcommand)]
@@ -172,7 +172,7 @@
     /// Only show entries of this token or person
     #[arg(long)]
     pub actor: Option<String>,
-    /// Only show this action: change, or the route of a refused request
+    /// Only show this action: change, cancel, or the route of a refused request
     #[arg(long)]
     pub action: Option<String>,
     /// Only show entries that name this, such as a worker, in their subject or detail
--- a/lilacpass-cli/src/args/help.rs
+++ b/lilacpass-cli/src/args/help.rs
@@ -33,7 +33,7 @@
   lilacpass submit --wait-answer --team shops --service auditdienst --kind page-check \\
       --idempotent --deadline 2s --payload https://example.org/
 
-  # Submit a crawl audit at most once, then wait until it has ended
+  # Submit a crawl audit that is never run twice, then wait until it has ended
   lilacpass submit --team shops --service auditdienst --kind crawl --key crawl-2026-12-02 \\
       --cpu 2 --memory 4GiB --run 2h --payload @sites.txt
   lilacpass wait 0123456789abcdef0123456789abcdef
--- a/lilacpass-cli/src/commands/audit.rs
+++ b/lilacpass-cli/src/commands/audit.rs
@@ -67,7 +67,8 @@
     table::render(table::terminal_width(), header, rows)
 }
 
-/// Formats the revisions before and after the change; `-` for an entry that is not about the configuration.
+/// Formats the configuration revisions before and after the action, or only the one before if it was refused; `-` if
+/// the entry holds neither.
 fn revisions(entry: &v1::AuditEntry) -> String {
     match (entry.from_revision, entry.to_revision) {
         (0, 0) => "-".to_owned(),
--- a/lilacpass-cli/src/commands/status.rs
+++ b/lilacpass-cli/src/commands/status.rs
@@ -82,7 +82,8 @@
     found
 }
 
-/// Describes the consequence for new work if shards are held in any mode other than by lease.
+/// Describes what it means for new work that shards are held in a mode other than `lease`; `None` if there are no such
+/// shards.
 fn holding_finding(holding: &v1::HoldingView) -> Option<String> {
     let shards = holding.shards;
     match holding.mode.as_str() {
--- a/lilacpass-cli/src/commands/wait.rs
+++ b/lilacpass-cli/src/commands/wait.rs
@@ -16,7 +16,7 @@
     units,
 };
 
-/// Maximum time that a server is asked to hold one request until the job has ended.
+/// Maximum time for which a server is asked to hold one request while the job has not ended.
 const MAX_HOLD: Duration = Duration::from_secs(10);
 /// Time that the response may take beyond that before the request times out.
 const RESPONSE_MARGIN: Duration = Duration::from_secs(5);
@@ -26,6 +26,8 @@
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Waits until the job has ended or the time limit given in `args` has passed.
+///
+/// Transient errors are retried until no server has returned the job for the timeout of one request.
 pub async fn run(context: &mut Context, args: &WaitArgs) -> Result<Report> {
     let started = Instant::now();
     let max_outage = context.client.timeout();
@@ -67,7 +69,7 @@
 /// What the tool knows about the job, and the progress printed so far.
 struct JobWatch<'a> {
     args: &'a WaitArgs,
-    /// Time of the last response that contained the job.
+    /// Time of the last response that contained the job, or of the start of the wait before the first one.
     last_seen: Instant,
     /// Whether any server has returned the job.
     found: bool,
--- a/lilacpass-cli/src/main.rs
+++ b/lilacpass-cli/src/main.rs
@@ -40,7 +40,8 @@
     }
 }
 
-/// Prints the error to standard error in human format; with JSON output, the problem document becomes the report.
+/// Converts an error to a report. In human format, the error is printed to standard error here and the report has no
+/// text; in JSON format, the report is the problem document, which scripts read from standard output.
 fn report_error(err: &Error, format: Format) -> Report {
     if format == Format::Human {
         eprintln!("lilacpass: {err}");
--- a/lilacpass-codegen/src/schema.rs
+++ b/lilacpass-codegen/src/schema.rs
@@ -50,8 +50,8 @@
     /// Index of the message in the file.
     index: usize,
     descriptor: &'a DescriptorProto,
-    /// Whether unknown fields are rejected. All fields of such a message are optional, whereas all other messages are
-    /// written by the daemon, which includes every field.
+    /// Whether unknown fields are rejected. All fields of such a message are optional, except the oneof of [`TAGGED`].
+    /// All other messages are written by the daemon, which includes every field.
     strict: bool,
 }
 
--- a/lilacpass-config/src/change/effects.rs
+++ b/lilacpass-config/src/change/effects.rs
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Describes the effect of one step, or returns `None` if it does not affect running work.
+    /// Describes the effect of one step, or returns `None` if there is none worth reporting.
     fn effect(&self, step: &Op) -> Option<String> {
         match step {
             Op::UpsertWorker(worker) => self.worker_effect(worker),
--- a/lilacpass-config/src/inventory/register.rs
+++ b/lilacpass-config/src/inventory/register.rs
@@ -26,7 +26,8 @@
 
 /// Parses workers from CSV text with a header row. All problems are reported together.
 ///
-/// This does not check whether the data centres exist, since the text does not list them.
+/// This does not check whether the data centres exist, since the text does not list them; that is checked once the
+/// workers are part of a configuration.
 pub fn parse_csv(text: &str) -> Result<Vec<v1::WorkerSpec>, Vec<Problem>> {
     let mut reader = csv::ReaderBuilder::new().trim(csv::Trim::All).from_reader(text.as_bytes());
     let header = reader.headers().map_err(|err| vec![syntax_problem(&err)])?.clone();
--- a/lilacpass-config/src/settings/model.rs
+++ b/lilacpass-config/src/settings/model.rs
@@ -72,7 +72,7 @@
     pub clock_drift_ppm: u64,
     /// Maximum time between the sending and the arrival of a start.
     pub start_flight: Duration,
-    /// Duration of a grant.
+    /// Duration of a grant, a peer's promise not to claim shards of this instance until the grant expires.
     pub grant: Duration,
     /// Maximum time for which a process may be paused and then resume. An old holder that is off the instance list for
     /// longer is considered dead.
