--- a/lilacpass-cli/src/commands/submit.rs
+++ b/lilacpass-cli/src/commands/submit.rs
@@ -48,7 +48,8 @@
     key: String,
 ) -> Result<Report> {
     let headers = vec![(IDEMPOTENCY_KEY, key)];
-    // Quick requests are not appended to the log, so a server does not know the keys that other servers received.
+    // The key alone doesn't make it safe to repeat a quick request: a server knows the key of a request that another
+    // server received only if that one has appended the request to the log.
     let retry_policy =
         if spec.idempotent { RetryPolicy::Idempotent } else { RetryPolicy::OnlyIfNotRun };
     let client = &mut context.client;
--- a/lilacpass-config/src/check.rs
+++ b/lilacpass-config/src/check.rs
@@ -20,7 +20,7 @@
     findings(configuration, &Scope::all()).into_iter().map(|finding| finding.problem).collect()
 }
 
-/// A problem together with the position of its value in the configuration.
+/// A problem together with the path of its value in the configuration.
 pub(crate) struct Finding {
     /// Path with the index of the entry, such as `workers[3].address`, by which the value is located in a text.
     pub(crate) path: String,
