--- a/lilacpass-config/tests/change.rs
+++ b/lilacpass-config/tests/change.rs
@@ -52,7 +52,8 @@
     );
 }
 
-/// Covers every kind of step that can invalidate entries other than the one it modifies.
+/// Covers every kind of step that can invalidate entries other than the one it modifies, and some steps that are
+/// themselves invalid.
 #[test]
 fn a_change_that_invalidates_other_entries_is_refused() {
     let old = configuration(1);
--- a/lilacpass-config/tests/common/mod.rs
+++ b/lilacpass-config/tests/common/mod.rs
@@ -65,7 +65,8 @@
     }
 }
 
-/// Returns a valid configuration with at least one entry in each section and the given number of workers.
+/// Returns a configuration with the given number of workers and at least one entry in each other section. It is valid
+/// if there are workers; without any, the quota of the team exceeds the capacity of the cell.
 pub fn configuration(workers: u64) -> v1::Configuration {
     v1::Configuration {
         data_centres: vec![v1::DataCentre { name: "hal-a".into(), region: "nl-midden".into() }],
