--- a/lilacpass-core/src/ids.rs
+++ b/lilacpass-core/src/ids.rs
@@ -100,7 +100,7 @@
     ServiceId
 }
 name_id! {
-    /// A kind of job within a service. Sizes and run times are estimated per kind.
+    /// A kind of job within a service. Sizes and run times are learned per kind, from tasks that have run.
     KindId
 }
 name_id! {
--- a/lilacpass-core/src/resources.rs
+++ b/lilacpass-core/src/resources.rs
@@ -26,7 +26,7 @@
         slots: Slots(0),
     };
 
-    /// Creates an amount from plain numbers.
+    /// Creates an amount from plain numbers: thousandths of a core, mebibytes, accelerators and slots.
     pub fn new(cpu_milli: u64, memory_mib: u64, accelerators: u64, slots: u64) -> Self {
         Self {
             cpu: Millicores(cpu_milli),
--- a/lilacpass-fuzz/src/lib.rs
+++ b/lilacpass-fuzz/src/lib.rs
@@ -18,7 +18,7 @@
 
 /// Environment variable that enables the random search and holds its duration in seconds.
 pub const SECONDS_VAR: &str = "LILACPASS_FUZZ_SECONDS";
-/// Environment variable that increases the number of fixed seeds.
+/// Environment variable with the minimum number of fixed seeds per test; it never reduces the number of a test.
 pub const SEEDS_VAR: &str = "LILACPASS_FUZZ_SEEDS";
 
 /// Maximum number of bytes from which a list is generated.
--- a/lilacpass-jobs/src/crashes.rs
+++ b/lilacpass-jobs/src/crashes.rs
@@ -27,7 +27,7 @@
     /// Returns whether the task may crash its next worker. The scheduler runs such a task on trial, where a crash does
     /// little harm and gives the clearest evidence.
     pub fn is_suspect(&self) -> bool {
-        // One unexplained crash, or two known ones of any kind, may be a coincidence.
+        // One unexplained crash may be a coincidence, and so may two known ones if at most one of them is unexplained.
         const MAX_UNEXPLAINED: usize = 1;
         const MAX_KNOWN: u32 = 2;
         self.count_at_least(Suspicion::Suspect) > 0
--- a/lilacpass-jobs/src/end.rs
+++ b/lilacpass-jobs/src/end.rs
@@ -38,7 +38,7 @@
     Failed,
     /// The worker stopped the run on request.
     Stopped,
-    /// The lease of the worker expired, or the worker left the cell.
+    /// The lease of the run expired, or the worker left the cell.
     Expired,
     /// The worker crashed; the leader infers this, no worker reports it.
     Crashed(Suspicion),
--- a/lilacpass-lab/src/bound.rs
+++ b/lilacpass-lab/src/bound.rs
@@ -1,6 +1,6 @@
 //! An upper bound for the result of any policy. Each service has a single large worker that has the capacity of all
-//! its workers together, is never faulty, knows the run time of each task, starts tasks without advice or records, and
-//! serves the step whose job becomes late first.
+//! its workers together, is never faulty, knows the run time of each task, and starts tasks without advice or records.
+//! It serves steps by priority, and those of one priority by the time from which their job is late.
 //!
 //! A policy that serves priorities in the same order can't do better; the difference is caused by fragmented capacity,
 //! calls and faults. In an overload, sorting by deadline doesn't give the highest worth, so there a policy may exceed
--- a/lilacpass-lab/src/cell.rs
+++ b/lilacpass-lab/src/cell.rs
@@ -36,7 +36,7 @@
 const RENEWAL_INTERVAL_MS: u64 = 200;
 /// Time between two reads of the registrations.
 const REGISTRATIONS_INTERVAL_MS: u64 = 500;
-/// Time of the start of the scenario. The leader polls its workers for the first time before it.
+/// Simulated time at which the scenario starts. Before that, the leader polls its workers for the first time.
 const FIRST_JOB_MS: u64 = 1_000;
 /// Time that a message takes between the leader and a worker, one way.
 pub(crate) const ONE_WAY_DELAY_MS: u64 = 1;
--- a/lilacpass-lab/src/outcome.rs
+++ b/lilacpass-lab/src/outcome.rs
@@ -21,7 +21,7 @@
     pub asked: u32,
     /// Number of jobs completed in time.
     pub in_time: u32,
-    /// Number of jobs completed late, but early enough to have some worth; see `scenario::Class::stretch`.
+    /// Number of jobs completed late, but within the limit for late jobs; see `scenario::Class::stretch`.
     pub late: u32,
     /// Number of accepted jobs that failed, never completed, or completed even later than the late ones.
     pub lost: u32,
--- a/lilacpass-lab/src/scenario.rs
+++ b/lilacpass-lab/src/scenario.rs
@@ -112,8 +112,8 @@
     /// Number of failed runs of a task after which its job fails.
     #[serde(default = "default_attempts")]
     pub attempts: u32,
-    /// A job is in time if it ends within `stretch` times its work plus `objective_ms`, and late within three times
-    /// that duration.
+    /// A job is in time if it ends within `stretch` times the work on its longest chain of tasks plus `objective_ms`,
+    /// and late within three times that duration.
     #[serde(default = "default_stretch")]
     pub stretch: f64,
     /// Constant part of the objective, in milliseconds; see `stretch`.
