--- a/lilacpass-jobs/src/crashes.rs
+++ b/lilacpass-jobs/src/crashes.rs
@@ -2,7 +2,7 @@
 
 use crate::{end::Suspicion, ids::WorkerName};
 
-/// A worker crash for which the task is the best known explanation.
+/// A worker crash that the task may have caused, as no better explanation is known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Crash {
     /// The worker that crashed; empty if its name is not recorded.
@@ -27,7 +27,7 @@
     /// Returns whether the task may crash its next worker. The scheduler runs such a task on trial, where a crash does
     /// little harm and gives the clearest evidence.
     pub fn is_suspect(&self) -> bool {
-        // One unexplained crash may be a coincidence, and so may two known ones if at most one of them is unexplained.
+        // Up to two known crashes, of which up to one is unexplained, may be a coincidence.
         const MAX_UNEXPLAINED: usize = 1;
         const MAX_KNOWN: u32 = 2;
         self.count_at_least(Suspicion::Suspect) > 0
@@ -38,8 +38,8 @@
     /// Records a crash. Returns whether the task has reached a limit and must not be started again.
     ///
     /// Two crashes suffice if no other task can have caused them. The limit on all known crashes also stops tasks that
-    /// crash their workers too late to be suspected, or next to other suspects. It is five because clients accept at
-    /// most two starts after the third crash.
+    /// crash their workers too late to be suspected, or next to other suspects. It is five because clients rely
+    /// on at most two starts after the third crash.
     pub fn record(&mut self, run: u32, worker: &WorkerName, suspicion: Suspicion) -> bool {
         const ONLY_SUSPECT_LIMIT: usize = 2;
         const UNEXPLAINED_LIMIT: usize = 3;
--- a/lilacpass-lab/src/bound.rs
+++ b/lilacpass-lab/src/bound.rs
@@ -1,10 +1,11 @@
-//! An upper bound for the result of any policy. Each service has a single large worker that has the capacity of all
-//! its workers together, is never faulty, knows the run time of each task, and starts tasks without advice or records.
-//! It serves steps by priority, and those of one priority by the time from which their job is late.
+//! An upper bound for the result of any policy. Each service has a single large worker with the total capacity of the
+//! service's workers. It is never faulty, knows the run time of each task, and starts tasks without requesting advice
+//! or storing anything. It serves steps by priority, and those of one priority by the time from which their job is
+//! late.
 //!
-//! A policy that serves priorities in the same order can't do better; the difference is caused by fragmented capacity,
-//! calls and faults. In an overload, sorting by deadline doesn't give the highest worth, so there a policy may exceed
-//! the bound.
+//! A policy that serves priorities in the same order can't do better; it falls short of the bound because of fragmented
+//! capacity, the time that calls take, and faults. In an overload, sorting by deadline doesn't give the highest worth,
+//! so there a policy may exceed the bound.
 
 use std::{
     cmp::Reverse,
@@ -26,7 +27,7 @@
 enum Event {
     /// A task of a job ends.
     TaskEnded { job: usize, step: usize },
-    /// A client submits a job.
+    /// A caller submits a job.
     JobSubmitted { job: usize },
 }
 
@@ -41,10 +42,12 @@
     free_capacity: BTreeMap<&'a str, Resources>,
     /// Waiting steps in the order in which they are served.
     waiting: BTreeSet<WaitingStep>,
-    /// For each job, the numbers of tasks of its current step that have not started and that have not ended.
+    /// For each job, two numbers of tasks of its current step: those that have not started, and those that have not
+    /// ended.
     remaining: Vec<(usize, usize)>,
     /// Upcoming events by time in milliseconds.
     events: BinaryHeap<Reverse<(u64, Event)>>,
+    /// The caller of each job, with the status of the job.
     callers: Vec<Caller>,
 }
 
--- a/lilacpass-lab/src/plot.rs
+++ b/lilacpass-lab/src/plot.rs
@@ -1,5 +1,6 @@
-//! Plots of a comparison over time: processor use, waiting steps and lost worth. Each policy is one line, which shows
-//! the mean over the seeds.
+//! Plots of a comparison over time: processor use, waiting steps and lost worth, which is the part of the jobs' worth
+//! that they did not earn, because they ended late or not at all. Each policy is one line, which shows the mean over
+//! the seeds.
 
 use std::path::Path;
 
@@ -50,7 +51,7 @@
     let lines: Vec<(&str, Vec<f64>)> = comparison
         .by_policy()
         .into_iter()
-        .map(|(policy, outcomes)| (policy, mean_by_s(&outcomes, &values)))
+        .map(|(policy, outcomes)| (policy, mean_over_seeds(&outcomes, &values)))
         .filter(|(_, line)| !line.is_empty())
         .collect();
     let max_length_s = lines.iter().map(|(_, line)| line.len()).max().unwrap_or(1);
@@ -87,7 +88,7 @@
     area.present().map_err(|err| plot_error(&err))
 }
 
-fn mean_by_s(outcomes: &[&Outcome], values: impl Fn(&Outcome) -> Vec<f64>) -> Vec<f64> {
+fn mean_over_seeds(outcomes: &[&Outcome], values: impl Fn(&Outcome) -> Vec<f64>) -> Vec<f64> {
     let lines: Vec<Vec<f64>> = outcomes.iter().map(|outcome| values(outcome)).collect();
     let min_length = lines.iter().map(Vec::len).min().unwrap_or(0);
     let mean = |s: usize| lines.iter().map(|line| line[s]).sum::<f64>() / lines.len() as f64;
--- a/lilacpass-lead/src/advice_requests.rs
+++ b/lilacpass-lead/src/advice_requests.rs
@@ -1,4 +1,4 @@
-//! Requests advice for steps and handles the responses.
+//! Requests advice about which workers may run a step, and handles the responses.
 
 use std::collections::HashSet;
 
@@ -24,17 +24,19 @@
 /// steps take some of it before the response arrives.
 const TASK_MARGIN: f64 = 1.5;
 /// Calls with a minimum duration above this are not made before their step may start, because tickets expire after
-/// about 2 s and time on the lanes for slow calls is scarce.
+/// about 2 s and time on the lanes for slow calls is scarce: the advice service handles one call per lane at a time.
 const MAX_EARLY_CALL_MS: f64 = 50.0;
-/// Share of the minimum duration of a call that may be added for workers without enough free capacity.
+/// Maximum time that a call may take longer because it also names workers without enough free capacity, as a share of
+/// its minimum duration.
 const EXTRA_WORKERS_TIME_SHARE: f64 = 0.5;
 /// Minimum number of tasks that the allowed workers among those named should have capacity for.
 const MIN_TARGET_TASKS: u64 = 4;
 
 impl Leader {
-    /// Requests advice for the steps that depend on a step of which a task has completed, if the calls are quick.
+    /// Requests advice for the steps that depend on `step`, if the calls are quick. Called when a task of `step` has
+    /// completed.
     ///
-    /// The other tasks of the step usually end soon after. If tickets are available by then, the end of this step and
+    /// The other tasks of `step` usually end soon after. If tickets are available by then, the end of this step and
     /// the starts of the next ones are stored with one append.
     pub(crate) fn request_advice_for_next_steps(&mut self, step: StepName, now: Now) {
         let Some(entry) = self.jobs.get(&step.job) else { return };
--- a/lilacpass-lead/src/crash_suspicion.rs
+++ b/lilacpass-lead/src/crash_suspicion.rs
@@ -1,7 +1,7 @@
 //! Decides which of the tasks that ran on a crashed worker are suspected of having crashed it.
 //!
-//! Load pattern: a task crashes every worker that starts it. Other tasks on these workers see as many crashes as that
-//! task if they are started often enough.
+//! Load pattern: a task crashes every worker that starts it. Counting crashes per task does not single it out, because
+//! other tasks that are started often enough on these workers are present at as many crashes.
 //!
 //! A task counts as harmless for now once its worker still responds a while after its start. A task that had not got
 //! that far when the worker crashed is a suspect; if there is one, the other tasks are cleared. Workers that are lost
@@ -19,38 +19,44 @@
     worker::{AssignedRun, Phase, RunKey, Worker},
 };
 
-/// Number of concurrent outages of other workers, all without a suspect, at which the tasks of a worker are cleared.
+/// Number of concurrent outages of other workers at which the tasks of a worker are cleared. Only outages without a
+/// suspect are counted.
 const MIN_OUTAGES_WITHOUT_SUSPECT: usize = 2;
-/// Number of concurrent outages of other workers, with or without suspects, at which an outage has no single obvious
-/// cause.
+/// Number of concurrent outages of other workers, with or without suspects, at which it is unclear whether they have a
+/// common cause. If the leader notices them around a stall of its own, a common cause is assumed.
 const MIN_CONCURRENT_OUTAGES: usize = 3;
-/// Number of concurrent outages, found by a new leader that does not know when they began, at which crashing tasks are
-/// an unlikely explanation.
+/// Number of concurrent outages of other workers at which crashing tasks are an unlikely explanation, if it is unknown
+/// when the outages began, for example because the leader is new.
 pub(crate) const MIN_OUTAGES_AT_UNKNOWN_TIME: usize = 4;
-/// Number of concurrent outages in the worker's rack at which the rack is the likely cause, if half of it is affected.
+/// Number of concurrent outages of other workers in a worker's rack at which the rack is the likely cause, if they are
+/// at least half of the rack.
 const MIN_RACK_OUTAGES: usize = 2;
-/// If a worker's last response is older than this when its outage is noticed, the time of its crash is unknown.
+/// If a worker's last response is older than this when its outage is noticed, the time of its crash is unknown. It is
+/// also unknown if the outage is noticed within this time of a stall of the leader.
 const MAX_RESPONSE_AGE_MS: u64 = 2_000;
 
 impl Leader {
-    /// Returns the suspicion that follows from the loss of a worker for the task of each run that it may have started.
+    /// Returns the runs that a lost worker may have started, each with the suspicion against its task.
     pub(crate) fn suspicions(&self, worker: &Worker, now: Now) -> Vec<(RunKey, Suspicion)> {
         let circumstances = self.circumstances(worker, now);
         let suspects = self.suspects(worker);
-        let was_any_suspected = suspects.iter().any(|suspect| self.was_suspected_before(suspect));
+        let was_any_suspected_before =
+            suspects.iter().any(|suspect| self.was_suspected_before(suspect));
         let suspicion = |key: &RunKey, assigned: &AssignedRun| {
             let is_suspect =
                 worker.is_suspect(assigned) && suspects.contains(&self.start_unit(key.0));
             let has_started = assigned.started_ms.is_some();
             let is_only = is_suspect && suspects.len() == 1 && has_started;
             match circumstances {
-                Circumstances::Explained if is_suspect && was_any_suspected => Suspicion::Present,
+                Circumstances::Explained if is_suspect && was_any_suspected_before => {
+                    Suspicion::Present
+                }
                 Circumstances::Explained => Suspicion::Cleared,
                 Circumstances::Alone if is_only => Suspicion::Only,
                 Circumstances::Alone | Circumstances::Shared if is_suspect => Suspicion::Suspect,
                 Circumstances::Shared => Suspicion::Cleared,
                 Circumstances::Alone if !suspects.is_empty() => Suspicion::Cleared,
-                _ if was_any_suspected && !is_suspect => Suspicion::Cleared,
+                _ if was_any_suspected_before && !is_suspect => Suspicion::Cleared,
                 Circumstances::Alone | Circumstances::UnknownTime => Suspicion::Present,
             }
         };
@@ -125,7 +131,7 @@
     Alone,
     /// Nothing points to a cause other than one of the worker's tasks, but the time of the loss is unknown.
     UnknownTime,
-    /// Several other workers were lost at the same time, each for its own cause or all for a common one.
+    /// Several other workers were lost at the same time, and it is unclear whether there is a common cause.
     Shared,
     /// Other workers were lost without a suspect, or many were lost at an unknown time: the cause is a common one.
     Explained,
--- a/lilacpass-lead/src/hosts.rs
+++ b/lilacpass-lead/src/hosts.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// Chooses among hosts by a [`Placement`] strategy.
+/// Chooses among hosts by a [`Placement`] strategy. [`pick`] handles [`Placement::BestScore`] itself.
 pub(crate) struct HostSelector {
     pub(crate) placement: Placement,
     pub(crate) step: StepName,
@@ -43,7 +43,7 @@
 }
 
 impl HostSelector {
-    /// Chooses the host for the next task, after `picked` tasks of the round have got one.
+    /// Chooses the host for the next task of a call of [`pick`] that has already picked hosts for `picked` tasks.
     fn choose<'a>(&self, mut eligible: Vec<&'a mut Host>, picked: usize) -> Option<&'a mut Host> {
         let draw = |number: u64| {
             let mut hasher = DefaultHasher::new();
@@ -81,7 +81,7 @@
     }
 }
 
-/// Picks workers for up to `count` tasks, by best score or by the placement strategy of `selector`.
+/// Picks workers for up to `count` tasks by the placement strategy of `selector`.
 pub(crate) fn pick(
     hosts: &mut [Host],
     plan: &v1::WorkStep,
--- a/lilacpass-lead/src/reservations.rs
+++ b/lilacpass-lead/src/reservations.rs
@@ -3,8 +3,9 @@
 //! Load pattern: a full pool in which capacity becomes free in small parts. A task that needs several parts together
 //! would never start, because each part is immediately taken by a small task.
 //!
-//! Steps that come later in scheduling order can't use reserved capacity. An advance reservation, made for a step
-//! that has waited for long, also excludes all other steps of the same priority. Neither delays a more urgent step.
+//! Steps that come later in scheduling order can't use reserved capacity. An advance reservation is made for a step
+//! that has waited for long, on capacity that is not free yet, and also excludes all other steps of the same priority.
+//! Neither kind of reservation delays a more urgent step.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -19,7 +20,8 @@
 /// The reservations of all steps.
 #[derive(Debug, Default)]
 pub struct Reservations {
-    /// The reserved capacities on each worker. Steps that come after the rank can't use the capacity.
+    /// The reserved capacities on each worker, each with a rank. Steps that come after this rank can't use the
+    /// capacity. For an advance reservation, the rank comes before all steps of the same priority.
     by_worker: BTreeMap<WorkerName, Vec<(Rank, Resources)>>,
     by_step: HashMap<StepName, Reservation>,
 }
@@ -60,7 +62,7 @@
         steps
     }
 
-    /// Reserves capacity on workers of a service that is not free yet. It is reserved against all steps that are not
+    /// Reserves capacity that is not free yet on workers of a service. It is reserved against all steps that are not
     /// more urgent, because otherwise earlier steps of the same priority would take it again and again.
     pub fn set_advance(&mut self, rank: Rank, shares: Vec<Share>, until_ms: u64, service: &str) {
         self.reserve(rank, rank.first_of_priority(), shares, until_ms);
@@ -71,9 +73,9 @@
 
     /// Returns the number of steps that have an advance reservation on workers of a service.
     pub fn advance_count(&self, service: &str) -> usize {
-        let is_in_pool =
+        let is_for_service =
             |reservation: &&Reservation| reservation.advance_service.as_deref() == Some(service);
-        self.by_step.values().filter(is_in_pool).count()
+        self.by_step.values().filter(is_for_service).count()
     }
 
     /// Releases the reservation of a step. Returns the workers that it was on.
--- a/lilacpass-node/src/relay_client.rs
+++ b/lilacpass-node/src/relay_client.rs
@@ -1,4 +1,5 @@
-//! Sends orders to relays, many to a message, and waits for the outcome of each.
+//! Sends orders in batches to relays, the instances that pass them on to workers, and waits for the outcome of each
+//! order.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -10,13 +11,13 @@
 
 /// Interval between two messages to a relay. Orders that are decided meanwhile share the next one.
 const MESSAGE_INTERVAL: Duration = Duration::from_millis(15);
-/// Timeout for a relay's confirmation of a message, which it sends before it executes the orders.
+/// Timeout for a relay's confirmation of a message. A relay confirms a message before it executes the orders in it.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(400);
 /// Added to the execution time of an order for the round trip between leader and relay, and for the batching of
 /// messages on both sides.
 const RELAY_OVERHEAD: Duration = Duration::from_millis(200);
 
-/// Has a relay execute an order. Waits for `execution_timeout` and the overhead of the relay.
+/// Executes an order through a relay. Waits up to `execution_timeout` plus `RELAY_OVERHEAD` for the result.
 pub async fn execute(
     node: &Rc<Node>,
     address: &Rc<str>,
