--- a/lilacpass-cli/src/api/exchange.rs
+++ b/lilacpass-cli/src/api/exchange.rs
@@ -1,4 +1,4 @@
-//! One request to one server, and what came of it.
+//! Sends one HTTP request to one server.
 
 use std::{error::Error, io, time::Duration};
 
@@ -16,101 +16,112 @@
 
 use crate::api::server::Server;
 
-/// Longest time to wait for a connection; shorter than a call, so that a server that is down is
-/// known as such, and not taken for one that got the request.
+/// Maximum time for connecting. It is shorter than the timeout of a request, so that a server that is down is
+/// recognised as unreachable and not mistaken for one that may have received the request.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A bearer token. Its text appears in no debug output.
+/// A bearer token. Its header value is marked as sensitive, so its text appears in no debug output.
 #[derive(Clone)]
-pub struct Token(HeaderValue);
+pub struct BearerToken(HeaderValue);
 
-impl Token {
-    /// Wraps the text of a token.
+impl BearerToken {
+    /// Creates the `Authorization` header value from the text of a token; surrounding whitespace is removed.
     pub fn new(text: &str) -> Result<Self, String> {
-        let mut value = HeaderValue::from_str(&format!("Bearer {}", text.trim()))
-            .map_err(|_| "the token holds characters that no token has".to_owned())?;
+        let mut value =
+            HeaderValue::from_str(&format!("Bearer {}", text.trim())).map_err(|_| {
+                "the token contains characters that are not valid in an HTTP header".to_owned()
+            })?;
         value.set_sensitive(true);
         Ok(Self(value))
     }
 }
 
-/// A request to any server.
+/// An HTTP request that can be sent to any server.
 #[derive(Clone, Debug)]
-pub struct Call {
-    /// Method of HTTP.
+pub struct Request {
+    /// HTTP method.
     pub method: Method,
-    /// Path and query, such as `/v1/jobs`.
+    /// Path and query string, such as `/v1/jobs`.
     pub path: String,
-    /// Headers besides those of the body and the token.
+    /// Headers other than those for the body and the token.
     pub headers: Vec<(&'static str, String)>,
-    /// JSON text; empty for no body.
+    /// JSON text of the body; empty for a request without a body.
     pub body: String,
-    /// Time for the whole exchange.
+    /// Maximum duration of the whole exchange, including the connection setup.
     pub timeout: Duration,
 }
 
-/// What a server answered.
+/// The response of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
-    /// Status of HTTP.
+pub struct Response {
+    /// HTTP status code.
     pub status: u16,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
-/// Why there is no answer.
+/// Why a request got no response. Both variants hold a description of the error.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Failure {
-    /// There was no connection, so nothing was sent.
+pub enum SendError {
+    /// The connection could not be established, so nothing was sent.
     NotSent(String),
-    /// The request may have reached the server.
-    NoAnswer(String),
+    /// The request may have reached the server, but no complete response arrived.
+    NoResponse(String),
 }
 
-/// Sends `call` to `server` over a connection of its own.
+/// Sends `request` to `server` over a new connection.
 ///
-/// No connection is kept for a later call: one that went silent between two calls, because
-/// something on the way lost track of it, would swallow the next call until its timeout.
-pub async fn send(server: &Server, call: &Call, token: Option<&Token>) -> Result<Answer, Failure> {
-    match time::timeout(call.timeout, exchange(server, call, token)).await {
+/// Connections are not reused: if a device on the network path drops the state of an idle connection, the next request
+/// on it would get no response until its timeout.
+pub async fn send(
+    server: &Server,
+    request: &Request,
+    token: Option<&BearerToken>,
+) -> Result<Response, SendError> {
+    match time::timeout(request.timeout, exchange(server, request, token)).await {
         Ok(result) => result,
-        Err(_) => Err(Failure::NoAnswer(format!("none within {:?}", call.timeout))),
+        Err(_) => Err(SendError::NoResponse(format!("no response within {:?}", request.timeout))),
     }
 }
 
-async fn exchange(server: &Server, call: &Call, token: Option<&Token>) -> Result<Answer, Failure> {
-    let mut builder = client::ClientBuilder::new();
-    builder.set_connect_timeout(CONNECT_TIMEOUT.min(call.timeout / 2));
-    let client: client::Client = builder.build().map_err(failure)?;
-    let mut request = client.request(call.method.clone(), server.url(&call.path));
-    for (name, value) in &call.headers {
-        request = request.header(*name, value.as_str());
+async fn exchange(
+    server: &Server,
+    request: &Request,
+    token: Option<&BearerToken>,
+) -> Result<Response, SendError> {
+    let mut client_builder = client::ClientBuilder::new();
+    client_builder.set_connect_timeout(CONNECT_TIMEOUT.min(request.timeout / 2));
+    let client: client::Client = client_builder.build().map_err(classify_error)?;
+    let mut request_builder = client.request(request.method.clone(), server.url(&request.path));
+    for (name, value) in &request.headers {
+        request_builder = request_builder.header(*name, value.as_str());
     }
-    if let Some(Token(value)) = token {
-        request = request.header(AUTHORIZATION, value.clone());
+    if let Some(BearerToken(value)) = token {
+        request_builder = request_builder.header(AUTHORIZATION, value.clone());
     }
-    if !call.body.is_empty() {
-        request = request.header(CONTENT_TYPE, "application/json").data(call.body.clone());
+    if !request.body.is_empty() {
+        request_builder =
+            request_builder.header(CONTENT_TYPE, "application/json").data(request.body.clone());
     }
-    let answer: response::Response = request.send().await.map_err(failure)?;
-    let status = answer.status().as_u16();
-    let broken = |err| Failure::NoAnswer(format!("the answer broke off: {err}"));
-    let body = answer.into_body().into_vec().await.map_err(broken)?;
-    Ok(Answer { status, body })
+    let response: response::Response = request_builder.send().await.map_err(classify_error)?;
+    let status = response.status().as_u16();
+    let body_error = |err| SendError::NoResponse(format!("the response was cut off: {err}"));
+    let body = response.into_body().into_vec().await.map_err(body_error)?;
+    Ok(Response { status, body })
 }
 
-/// Sorts the errors of the HTTP library: those from before the first byte left prove that nothing
-/// was sent, all others prove nothing.
+/// Classifies an error of the HTTP library. An error that occurs before the first byte is written proves that nothing
+/// was sent; any other error proves nothing.
 ///
-/// The library reports a connection that could not be made as an error of the request, caused
-/// directly by an I/O error. Any error after that is caused by one of the HTTP protocol.
-fn failure(err: ClientError) -> Failure {
-    let not_connected = err.source().is_some_and(<dyn Error>::is::<io::Error>);
+/// The library reports a failed connection attempt as a request error whose direct source is an I/O error. The source
+/// of any later error is an error of the HTTP protocol.
+fn classify_error(err: ClientError) -> SendError {
+    let connect_failed = err.source().is_some_and(<dyn Error>::is::<io::Error>);
     match err.kind() {
         ErrorKind::Builder | ErrorKind::Connect | ErrorKind::LoadBalance | ErrorKind::Context => {
-            Failure::NotSent(err.to_string())
+            SendError::NotSent(err.to_string())
         }
-        ErrorKind::Request if not_connected => Failure::NotSent(err.to_string()),
-        _ => Failure::NoAnswer(err.to_string()),
+        ErrorKind::Request if connect_failed => SendError::NotSent(err.to_string()),
+        _ => SendError::NoResponse(err.to_string()),
     }
 }
--- a/lilacpass-cli/src/commands.rs
+++ b/lilacpass-cli/src/commands.rs
@@ -1,9 +1,9 @@
-//! One module for each command, or for commands that share their work.
+//! Implementation of the commands, with one module per command or group of related commands.
 
 use clap::CommandFactory;
 
 use crate::{
-    api::{Client, exchange::Token},
+    api::{Client, exchange::BearerToken},
     args::{Cli, Command, GlobalArgs, TokenCommand},
     error::{Error, Result},
     report::{Format, Report},
@@ -24,33 +24,33 @@
 pub mod wait;
 pub mod workers;
 
-/// What the commands work with.
-pub struct Tool {
-    /// The servers.
+/// What every command needs: the client and the output format.
+pub struct Context {
+    /// Client for the servers given on the command line.
     pub client: Client,
-    /// The form in which results are printed.
+    /// Output format of the results.
     pub format: Format,
 }
 
-/// Runs the command that `cli` names. `now_unix_ms` is the time, in milliseconds since 1970.
+/// Runs the command given in `cli`. `now_unix_ms` is the current time in milliseconds since 1970.
 pub async fn run(cli: Cli, now_unix_ms: u64) -> Result<Report> {
     let Cli { global, command } = cli;
-    let tool = &mut tool(global)?;
+    let context = &mut create_context(global)?;
     match command {
-        Command::Submit(args) => submit::run(tool, &args).await,
-        Command::Wait(args) => wait::run(tool, &args).await,
-        Command::Cancel { job } => jobs::cancel(tool, job).await,
-        Command::Jobs(args) => jobs::list(tool, &args).await,
-        Command::Explain { job } => jobs::explain(tool, job).await,
-        Command::Workers(args) => workers::run(tool, &args).await,
-        Command::Status { cell: false } => status::run(tool).await,
-        Command::Status { cell: true } => cell::run(tool).await,
-        Command::Inventory => inventory::run(tool).await,
-        Command::Apply(args) => change::apply(tool, &args).await,
-        Command::Diff(args) => change::diff(tool, &args).await,
-        Command::Drain(args) => change::drain(tool, &args).await,
-        Command::Changes => change::list(tool).await,
-        Command::Audit(args) => audit::run(tool, &args, now_unix_ms).await,
+        Command::Submit(args) => submit::run(context, &args).await,
+        Command::Wait(args) => wait::run(context, &args).await,
+        Command::Cancel { job } => jobs::cancel(context, job).await,
+        Command::Jobs(args) => jobs::list(context, &args).await,
+        Command::Explain { job } => jobs::explain(context, job).await,
+        Command::Workers(args) => workers::run(context, &args).await,
+        Command::Status { cell: false } => status::run(context).await,
+        Command::Status { cell: true } => cell::run(context).await,
+        Command::Inventory => inventory::run(context).await,
+        Command::Apply(args) => change::apply(context, &args).await,
+        Command::Diff(args) => change::diff(context, &args).await,
+        Command::Drain(args) => change::drain(context, &args).await,
+        Command::Changes => change::list(context).await,
+        Command::Audit(args) => audit::run(context, &args, now_unix_ms).await,
         Command::Token(TokenCommand::New(args)) => token::new(&args, now_unix_ms),
         Command::ImportCsv(args) => import::run(&args),
         Command::Check(args) => check::run(&args),
@@ -58,15 +58,15 @@
     }
 }
 
-fn tool(global: GlobalArgs) -> Result<Tool> {
-    let token = token_text(&global)?;
-    let token = token.map(|text| Token::new(&text)).transpose().map_err(Error::Usage)?;
+fn create_context(global: GlobalArgs) -> Result<Context> {
+    let token = read_token(&global)?;
+    let token = token.map(|text| BearerToken::new(&text)).transpose().map_err(Error::Usage)?;
     let client = Client::new(global.server, token, global.timeout);
-    Ok(Tool { client, format: global.output })
+    Ok(Context { client, format: global.output })
 }
 
-/// The text of the token: as given directly, else from the file.
-fn token_text(global: &GlobalArgs) -> Result<Option<String>> {
+/// Returns the token from the option or environment variable if it is set, or else from the token file.
+fn read_token(global: &GlobalArgs) -> Result<Option<String>> {
     if let Some(token) = &global.token {
         return Ok(Some(token.clone()));
     }
--- a/lilacpass-cli/src/commands/audit.rs
+++ b/lilacpass-cli/src/commands/audit.rs
@@ -1,4 +1,4 @@
-//! `audit`: who asked for what, when, from where, and what came of it.
+//! `audit`: lists the audit trail, with who requested what, when, from where and with which outcome.
 
 use std::time::Duration;
 
@@ -7,21 +7,21 @@
 use crate::{
     api::path,
     args::AuditArgs,
-    commands::{Tool, jobs::matches},
+    commands::{Context, jobs::matches},
     error::Result,
     report::{self, Report},
     table, units,
 };
 
-/// Lists the entries of the audit trail that pass the filters, the newest last.
-pub async fn run(tool: &mut Tool, args: &AuditArgs, now_unix_ms: u64) -> Result<Report> {
-    let answer = tool.client.get(path::AUDIT).await?;
-    let mut list: v1::AuditList = report::decode(&answer)?;
+/// Lists the entries of the audit trail that pass the filters, in the order of the server: the newest comes last.
+pub async fn run(context: &mut Context, args: &AuditArgs, now_unix_ms: u64) -> Result<Report> {
+    let response = context.client.get(path::AUDIT).await?;
+    let mut list: v1::AuditList = report::decode(&response)?;
     list.entries = select(list.entries, args, now_unix_ms);
     Ok(Report::ok(render(&list.entries), report::encode(&list)))
 }
 
-/// The entries that pass the filters, as of `now_unix_ms` in milliseconds since 1970.
+/// Returns the entries that pass the filters. `now_unix_ms` is the current time in milliseconds since 1970.
 pub fn select(
     entries: Vec<v1::AuditEntry>,
     args: &AuditArgs,
@@ -55,7 +55,7 @@
     let rows = entries.iter().map(|entry| {
         let outcome = if entry.accepted { "accepted" } else { "REFUSED" };
         [
-            units::show_unix_ms(entry.at_unix_ms),
+            units::format_unix_ms(entry.at_unix_ms),
             entry.actor.clone(),
             format!("{} {}", entry.action, entry.subject).trim_end().to_owned(),
             revisions(entry),
@@ -67,7 +67,8 @@
     table::render(table::terminal_width(), header, rows)
 }
 
-/// From and to which revision, for entries that concern the configuration.
+/// Formats the configuration revisions before and after the action, or only the one before if it was refused; `-` if
+/// the entry holds neither.
 fn revisions(entry: &v1::AuditEntry) -> String {
     match (entry.from_revision, entry.to_revision) {
         (0, 0) => "-".to_owned(),
--- a/lilacpass-cli/src/commands/import.rs
+++ b/lilacpass-cli/src/commands/import.rs
@@ -1,4 +1,4 @@
-//! `import-csv`: the CSV of an asset register as a configuration file.
+//! `import-csv`: converts the CSV file of an asset register into a configuration file.
 
 use lilacpass_config::inventory;
 use lilacpass_schema::v1;
@@ -10,15 +10,15 @@
     report::{self, Report},
 };
 
-/// Turns the register into a configuration, on top of the file that `args` name, if any.
+/// Converts the register into a configuration, merged into the file given by `--into` if there is one.
 pub fn run(args: &ImportArgs) -> Result<Report> {
     let csv = files::read(&args.file)?;
-    let workers =
-        inventory::parse_csv(&csv).map_err(|problems| files::refuse(&args.file, &problems))?;
+    let workers = inventory::parse_csv(&csv)
+        .map_err(|problems| files::invalid_file(&args.file, &problems))?;
     let base = match &args.into {
         Some(path) => {
             let text = files::read(path)?;
-            inventory::parse(&text).map_err(|problems| files::refuse(path, &problems))?
+            inventory::parse(&text).map_err(|problems| files::invalid_file(path, &problems))?
         }
         None => v1::Configuration::default(),
     };
@@ -26,25 +26,25 @@
     Ok(Report::ok(files::to_toml(&merged), report::encode(&merged)))
 }
 
-/// `base` with the workers of a register, each in the place of the one of its name.
+/// Merges the workers of a register into `base`, replacing workers of the same name.
 ///
-/// A drain stays as it is, since a register knows nothing of it. A data centre that `base` does
-/// not know is added, in `region`.
+/// Whether a worker is draining is kept from `base`, because a register does not contain it. A data centre that `base`
+/// lacks is added with the given `region`.
 pub fn import(
     base: &v1::Configuration,
     workers: Vec<v1::WorkerSpec>,
     region: &str,
 ) -> v1::Configuration {
-    let mut over = v1::Configuration::default();
+    let mut overrides = v1::Configuration::default();
     for mut worker in workers {
-        let before = base.workers.iter().find(|known| known.name == worker.name);
-        worker.draining = before.is_some_and(|known| known.draining);
-        let mut known = base.data_centres.iter().chain(&over.data_centres);
+        let previous = base.workers.iter().find(|known| known.name == worker.name);
+        worker.draining = previous.is_some_and(|known| known.draining);
+        let mut known = base.data_centres.iter().chain(&overrides.data_centres);
         if !known.any(|data_centre| data_centre.name == worker.data_centre) {
             let name = worker.data_centre.clone();
-            over.data_centres.push(v1::DataCentre { name, region: region.to_owned() });
+            overrides.data_centres.push(v1::DataCentre { name, region: region.to_owned() });
         }
-        over.workers.push(worker);
+        overrides.workers.push(worker);
     }
-    overlay::overlay(base, &over)
+    overlay::overlay(base, &overrides)
 }
--- a/lilacpass-fuzz/src/lib.rs
+++ b/lilacpass-fuzz/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! Two environment variables make a run longer:
 //!
-//! - `LILACPASS_FUZZ_SEEDS=n` tries at least `n` fixed seeds, and never fewer than the test itself asks for.
+//! - `LILACPASS_FUZZ_SEEDS=n` tries at least `n` fixed seeds, and never fewer than the test itself requests.
 //! - `LILACPASS_FUZZ_SECONDS=n` replaces the fixed seeds by bolero's random search, which takes `n` seconds per test
 //!   and shrinks failing values.
 
@@ -18,7 +18,7 @@
 
 /// Environment variable that enables the random search and holds its duration in seconds.
 pub const SECONDS_VAR: &str = "LILACPASS_FUZZ_SECONDS";
-/// Environment variable that increases the number of fixed seeds.
+/// Environment variable with the minimum number of fixed seeds per test; it never reduces the number of a test.
 pub const SEEDS_VAR: &str = "LILACPASS_FUZZ_SEEDS";
 
 /// Maximum number of bytes from which a list is generated.
--- a/lilacpass-lab/src/cell.rs
+++ b/lilacpass-lab/src/cell.rs
@@ -3,8 +3,8 @@
 //! The model includes workers with capacity, leases, ends and checkpoints; one append at a time; calls of the advice
 //! service; callers that retry; bursts; slow, failing, crashing and shrinking workers; a slow or unavailable store; and
 //! an unresponsive advice service. It leaves out other instances and take-overs, lost messages, cancelled jobs, tasks
-//! that are slow across racks, and the processor time of the leader: a scheduling round takes no simulated time, its
-//! real time is measured separately.
+//! that are slow across racks, and the processor time of the leader: a scheduling round takes no simulated time;
+//! its real duration is measured separately.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -36,7 +36,7 @@
 const RENEWAL_INTERVAL_MS: u64 = 200;
 /// Time between two reads of the registrations.
 const REGISTRATIONS_INTERVAL_MS: u64 = 500;
-/// Time of the start of the scenario. The leader polls its workers for the first time before it.
+/// Simulated time at which the scenario starts. Before that, the leader polls its workers for the first time.
 const FIRST_JOB_MS: u64 = 1_000;
 /// Time that a message takes between the leader and a worker, one way.
 pub(crate) const ONE_WAY_DELAY_MS: u64 = 1;
@@ -66,7 +66,7 @@
     ReadRegistrations,
     /// Records the processor use and the number of waiting steps.
     Sample,
-    /// Crashes the worker with index `at`, if its incarnation is still `worker`.
+    /// Crashes the worker with this index, if `worker` is still its current incarnation.
     Crash { index: usize, worker: WorkerName },
     /// Restarts the crashed worker with this index.
     Restart(usize),
--- a/lilacpass-lab/src/model_worker.rs
+++ b/lilacpass-lab/src/model_worker.rs
@@ -78,7 +78,7 @@
     pub waiting_poll: Option<WaitingPoll>,
     /// End of the leases of all runs, in simulated milliseconds.
     lease_until_ms: u64,
-    /// Ends that the leader has not told the worker to forget.
+    /// Ends that the leader has not acknowledged yet.
     ends: Vec<ReportedEnd>,
     /// Number of the next end.
     next_end: u64,
@@ -112,7 +112,7 @@
         self.waiting_poll.take()
     }
 
-    /// Restarts the worker as a new incarnation, without any runs or ends.
+    /// Restarts the worker as the incarnation number `life`, without any runs or ends.
     pub fn restart(&mut self, life: u64) {
         let name = format!("{}-life-{life}", self.first_name);
         let registration =
--- a/lilacpass-lead/benches/round.rs
+++ b/lilacpass-lead/benches/round.rs
@@ -1,6 +1,6 @@
 //! Measures the time of one scheduling round in a full cell, by the number of workers and of waiting steps.
 //!
-//! The mean times of each size are followed by the median and the 99th percentile of single decisions.
+//! For each size, prints the mean times and then the median and the 99th percentile of single decisions.
 
 mod cell;
 
@@ -19,7 +19,7 @@
 const DECISIONS: [Case; 3] = [Case::FreedWorker, Case::QuietLook, Case::NewJob];
 /// Number of single decisions that the percentiles are computed from.
 const SINGLE_DECISIONS: usize = 300;
-/// Maximum total time of the single decisions of a cell, after which fewer are used.
+/// Maximum total time of the single decisions of a cell. After that, the percentiles are computed from fewer decisions.
 const MAX_SINGLE_TIME: Duration = Duration::from_secs(3);
 
 fn rounds(c: &mut Criterion) {
--- a/lilacpass-lead/src/advice.rs
+++ b/lilacpass-lead/src/advice.rs
@@ -14,9 +14,9 @@
 const SLOW_CALL_MS: u64 = 120;
 /// One lane in this many is reserved for quick calls, which need about a third of the total call time.
 const LANES_PER_QUICK_LANE: usize = 3;
-/// Maximum share of the lanes for slow calls that one queue may hold, in percent. Steps that find no free capacity call
-/// again as soon as their tickets have expired. Sixty such steps once held all lanes for seven seconds, and a step of
-/// another queue could not start although workers were free.
+/// Maximum share of the lanes for slow calls that one queue may hold, in percent. Steps that find no free capacity
+/// request advice again as soon as their tickets have expired. Sixty such steps once held all lanes for seven seconds,
+/// and a step of another queue could not start although workers were free.
 const MAX_QUEUE_SLOW_LANES_PERCENT: usize = 67;
 /// Pause in ms after a failed call for advice before the next call for the same step.
 const RETRY_MS: u64 = 200;
@@ -40,6 +40,7 @@
 #[derive(Debug)]
 struct Ticket {
     text: String,
+    /// Expiry in ms on the monotonic clock.
     until_ms: u64,
 }
 
@@ -52,7 +53,10 @@
 
     /// Returns the workers for which there are tickets that are valid now.
     pub fn workers_with_tickets(&self, now_ms: u64) -> impl Iterator<Item = &WorkerName> {
-        self.tickets.iter().filter(move |(_, t)| now_ms < t.until_ms).map(|(worker, _)| worker)
+        self.tickets
+            .iter()
+            .filter(move |(_, ticket)| now_ms < ticket.until_ms)
+            .map(|(worker, _)| worker)
     }
 
     /// Delays the next call because there were no candidates to name.
@@ -90,9 +94,9 @@
             return;
         };
         let until_ms = (now_ms + advice.valid_ms).saturating_sub(margin_ms);
-        for row in advice.good {
-            self.verdicts.insert(row.worker.clone(), true);
-            self.tickets.insert(row.worker, Ticket { text: row.ticket, until_ms });
+        for allowed in advice.good {
+            self.verdicts.insert(allowed.worker.clone(), true);
+            self.tickets.insert(allowed.worker, Ticket { text: allowed.ticket, until_ms });
         }
         for worker in queried {
             self.verdicts.entry(worker.clone()).or_insert(false);
--- a/lilacpass-lead/src/crash_suspicion.rs
+++ b/lilacpass-lead/src/crash_suspicion.rs
@@ -1,12 +1,12 @@
-//! Decides what the crash of a worker says about the tasks that ran there.
+//! Decides which of the tasks that ran on a crashed worker are suspected of having crashed it.
 //!
-//! Load pattern: a task crashes every worker that starts it. Other tasks on these workers see as many crashes as that
-//! task if they are started often enough.
+//! Load pattern: a task crashes every worker that starts it. Counting crashes per task does not single it out, because
+//! other tasks that are started often enough on these workers are present at as many crashes.
 //!
-//! A task is proved harmless for the moment when its worker still responds a while after its start. A task for which
-//! this had not happened when the worker crashed is a suspect; if there is one, the other tasks are cleared. Workers
-//! that are lost with their rack, by a network partition or by a rolling restart stop responding at the same time, and
-//! some of them had no suspect; then no task is suspected.
+//! A task counts as harmless for now once its worker still responds a while after its start. A task that had not got
+//! that far when the worker crashed is a suspect; if there is one, the other tasks are cleared. Workers that are lost
+//! with their rack, by a network partition or by a rolling restart stop responding at the same time. If some of them
+//! had no suspect, the loss has a common cause and no task is suspected.
 
 use std::collections::BTreeSet;
 
@@ -19,46 +19,53 @@
     worker::{AssignedRun, Phase, RunKey, Worker},
 };
 
-/// Concurrent outages of other workers that had no suspect, from which on the tasks of a worker are cleared.
+/// Number of concurrent outages of other workers at which the tasks of a worker are cleared. Only outages without a
+/// suspect are counted.
 const MIN_OUTAGES_WITHOUT_SUSPECT: usize = 2;
-/// Concurrent outages of other workers, with or without suspects, from which on an outage has no single obvious cause.
+/// Number of concurrent outages of other workers, with or without suspects, at which it is unclear whether they have a
+/// common cause. If the leader notices them around a stall of its own, a common cause is assumed.
 const MIN_CONCURRENT_OUTAGES: usize = 3;
-/// Concurrent outages that a new leader finds without knowing when they began, from which on crashing tasks are an
-/// unlikely explanation.
+/// Number of concurrent outages of other workers at which crashing tasks are an unlikely explanation, if it is unknown
+/// when the outages began, for example because the leader is new.
 pub(crate) const MIN_OUTAGES_AT_UNKNOWN_TIME: usize = 4;
-/// Concurrent outages in the worker's rack that point to the rack as the cause, if they affect half of it.
+/// Number of concurrent outages of other workers in a worker's rack at which the rack is the likely cause, if they are
+/// at least half of the rack.
 const MIN_RACK_OUTAGES: usize = 2;
-/// If a worker's last response is older than this when its outage is noticed, the time of its crash is unknown.
+/// If a worker's last response is older than this when its outage is noticed, the time of its crash is unknown. It is
+/// also unknown if the outage is noticed within this time of a stall of the leader.
 const MAX_RESPONSE_AGE_MS: u64 = 2_000;
 
 impl Leader {
-    /// Returns what the loss of a worker says about the task of each run that it may have started.
+    /// Returns the runs that a lost worker may have started, each with the suspicion against its task.
     pub(crate) fn suspicions(&self, worker: &Worker, now: Now) -> Vec<(RunKey, Suspicion)> {
         let circumstances = self.circumstances(worker, now);
         let suspects = self.suspects(worker);
-        let was_any_suspected = suspects.iter().any(|suspect| self.was_suspected_before(suspect));
+        let was_any_suspected_before =
+            suspects.iter().any(|suspect| self.was_suspected_before(suspect));
         let suspicion = |key: &RunKey, assigned: &AssignedRun| {
             let is_suspect =
                 worker.is_suspect(assigned) && suspects.contains(&self.start_unit(key.0));
             let has_started = assigned.started_ms.is_some();
             let is_only = is_suspect && suspects.len() == 1 && has_started;
             match circumstances {
-                Circumstances::Explained if is_suspect && was_any_suspected => Suspicion::Present,
+                Circumstances::Explained if is_suspect && was_any_suspected_before => {
+                    Suspicion::Present
+                }
                 Circumstances::Explained => Suspicion::Cleared,
                 Circumstances::Alone if is_only => Suspicion::Only,
                 Circumstances::Alone | Circumstances::Shared if is_suspect => Suspicion::Suspect,
                 Circumstances::Shared => Suspicion::Cleared,
                 Circumstances::Alone if !suspects.is_empty() => Suspicion::Cleared,
-                _ if was_any_suspected && !is_suspect => Suspicion::Cleared,
+                _ if was_any_suspected_before && !is_suspect => Suspicion::Cleared,
                 Circumstances::Alone | Circumstances::UnknownTime => Suspicion::Present,
             }
         };
-        let ordered = worker.runs.iter().filter(|(_, assigned)| assigned.phase != Phase::Recording);
-        ordered.map(|(key, assigned)| (*key, suspicion(key, assigned))).collect()
+        let sent = worker.runs.iter().filter(|(_, assigned)| assigned.phase != Phase::Recording);
+        sent.map(|(key, assigned)| (*key, suspicion(key, assigned))).collect()
     }
 
-    /// The start units that may have crashed a worker, because it did not outlive their start. If some of them were
-    /// suspected before, only those.
+    /// Returns the start units that may have crashed a worker, because the worker is not known to have outlived their
+    /// start. If some of them were suspected before, returns only those.
     fn suspects(&self, worker: &Worker) -> BTreeSet<StartUnit> {
         let suspects = worker.runs.iter().filter(|(_, assigned)| worker.is_suspect(assigned));
         let suspects: BTreeSet<StartUnit> =
@@ -117,18 +124,19 @@
     }
 }
 
-/// What other outages say about the loss of a worker.
+/// How the loss of a worker relates to other outages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Circumstances {
-    /// Nothing points to another cause.
+    /// Nothing points to a cause other than one of the worker's tasks.
     Alone,
-    /// Nothing points to another cause, but the time of the loss is unknown.
+    /// Nothing points to a cause other than one of the worker's tasks, but the time of the loss is unknown.
     UnknownTime,
-    /// Several other workers were lost at the same time, each for its own cause or all for a common one.
+    /// Several other workers were lost at the same time, and it is unclear whether there is a common cause.
     Shared,
     /// Other workers were lost without a suspect, or many were lost at an unknown time: the cause is a common one.
     Explained,
 }
 
-/// What is started together: a gang, named by its step, or a single task, named by its step and index.
+/// Tasks that are started together: a gang, identified by its step and `None`, or a single task, identified by its step
+/// and index.
 type StartUnit = (StepName, Option<u32>);
--- a/lilacpass-lead/src/event.rs
+++ b/lilacpass-lead/src/event.rs
@@ -130,10 +130,10 @@
     Malformed,
 }
 
-/// A running run in a worker's poll response.
+/// A run that is active on a worker, as listed in its poll response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReportedRun {
-    /// Task that is running.
+    /// Task of the run.
     pub task: TaskName,
     /// Number of the run within its task.
     pub run: u32,
@@ -201,9 +201,9 @@
         /// The request itself.
         request: Request,
     },
-    /// The store has stored the records of the pending append.
+    /// The store has stored the records of the append in flight.
     Appended,
-    /// The store has definitely not stored any record of the pending append.
+    /// The store has definitely not stored any record of the append in flight.
     NotAppended,
     /// The store has confirmed that this instance was still the leader when the call was sent.
     LeadershipConfirmed {
--- a/lilacpass-lead/src/hosts.rs
+++ b/lilacpass-lead/src/hosts.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// Chooses among hosts by a [`Placement`] strategy.
+/// Chooses among hosts by a [`Placement`] strategy. [`pick`] handles [`Placement::BestScore`] itself.
 pub(crate) struct HostSelector {
     pub(crate) placement: Placement,
     pub(crate) step: StepName,
@@ -43,21 +43,23 @@
 }
 
 impl HostSelector {
-    /// Chooses the host for the next task, after `picked` tasks of the round have got one.
+    /// Chooses the host for the next task of a call of [`pick`] that has already picked hosts for `picked` tasks.
     fn choose<'a>(&self, mut eligible: Vec<&'a mut Host>, picked: usize) -> Option<&'a mut Host> {
         let draw = |number: u64| {
             let mut hasher = DefaultHasher::new();
             (self.step, self.now_ms, picked, number).hash(&mut hasher);
             hasher.finish() as usize % eligible.len().max(1)
         };
-        let free = |at: usize| eligible.get(at).map(|host| host.score.free_share);
-        let at = match self.placement {
+        let free_share = |index: usize| eligible.get(index).map(|host| host.score.free_share);
+        let chosen = match self.placement {
             Placement::BestScore | Placement::FirstFit => 0,
-            Placement::LeastLoaded => (0..eligible.len()).max_by_key(|&at| free(at))?,
+            Placement::LeastLoaded => (0..eligible.len()).max_by_key(|&index| free_share(index))?,
             Placement::Random => draw(0),
-            Placement::TwoChoices => [draw(0), draw(1)].into_iter().max_by_key(|&at| free(at))?,
+            Placement::TwoChoices => {
+                [draw(0), draw(1)].into_iter().max_by_key(|&index| free_share(index))?
+            }
         };
-        (at < eligible.len()).then(|| eligible.swap_remove(at))
+        (chosen < eligible.len()).then(|| eligible.swap_remove(chosen))
     }
 }
 
@@ -79,7 +81,7 @@
     }
 }
 
-/// Picks workers for up to `count` tasks, by best score or by the placement strategy of `selector`.
+/// Picks workers for up to `count` tasks by the placement strategy of `selector`.
 pub(crate) fn pick(
     hosts: &mut [Host],
     plan: &v1::WorkStep,
--- a/lilacpass-lead/src/options.rs
+++ b/lilacpass-lead/src/options.rs
@@ -6,7 +6,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
     /// Duration to which each call to a worker extends the leases there. It must be longer than a take-over, which
-    /// takes about 2 s, but short, because the work on a dead worker can only restart once its leases have expired.
+    /// takes about 2 s, with time to spare, but short, because the work on a dead worker can only restart once its
+    /// leases have expired.
     pub lease_ms: u64,
     /// Duration of the leases on a draining worker. Once such a worker is unresponsive and unregistered, it has either
     /// left or is cut off and keeps working. Its tasks can start elsewhere only after its leases have expired, so these
@@ -18,8 +19,8 @@
     /// Maximum time for which a worker may hold a poll until a run ends there. Half of the lease time that remains
     /// after the longest wait must be enough for the next poll.
     pub poll_wait_ms: u64,
-    /// Replaces `poll_wait_ms` while responses get lost. A lost response delays the news of a task's end by this time
-    /// plus `poll_answer_lossy_ms`.
+    /// Replaces `poll_wait_ms` while responses get lost. If a response is lost, the leader learns of a task's end later
+    /// by this time plus `poll_answer_lossy_ms`.
     pub poll_wait_lossy_ms: u64,
     /// Time that the response to a poll may take in addition to its wait. Healthy workers respond within 5 ms; a slow
     /// link or a busy instance adds tens of ms, a slow instance some hundreds.
@@ -28,8 +29,8 @@
     pub poll_answer_lossy_ms: u64,
     /// Pause after a failed poll before the next one.
     pub poll_retry_ms: u64,
-    /// Minimum pause between polls of a worker whose reported ends are not stored yet. A poll may report the ends of
-    /// other tasks, while an ordinary append takes 8 ms and a slow one 0.7 s.
+    /// Minimum pause between polls of a worker whose reported ends are not stored yet. It is still polled because it
+    /// may report the ends of other tasks. An ordinary append takes 8 ms, a slow one 0.7 s.
     pub poll_unrecorded_min_ms: u64,
     /// Maximum of that pause, which grows with the number of workers.
     pub poll_unrecorded_max_ms: u64,
@@ -45,8 +46,8 @@
     pub store_unresponsive_limit_ms: u64,
     /// Time for which the state of an ended job can still be queried.
     pub retention_ms: u64,
-    /// Time for which a live worker that reaches the store can be unregistered. Registrations that expired during an
-    /// outage are back within about 2 s of its end.
+    /// Maximum time for which a live worker that can reach the store is unregistered. Registrations that expired during
+    /// an outage are back within about 2 s of its end.
     pub unregistered_limit_ms: u64,
     /// Subtracted from the validity of a ticket to allow for the transmission of the start order.
     pub ticket_margin_ms: u64,
--- a/lilacpass-lead/src/orders.rs
+++ b/lilacpass-lead/src/orders.rs
@@ -122,8 +122,8 @@
     /// the call and then by the rest of the lease.
     ///
     /// Unresponsive workers don't count while others in their data centre respond. If one response in twenty is lost,
-    /// several of a hundred workers are unresponsive at any moment, and without this condition their neighbours got no
-    /// starts, twenty times a second.
+    /// several of a hundred workers are unresponsive at any moment, and without this condition starts on their
+    /// neighbours were held back twenty times a second.
     pub(crate) fn suspect_data_centre(&mut self, name: &WorkerName, now: Now) {
         /// A data centre is unresponsive if none of its workers has responded for this long. Sixteen idle workers
         /// together answer twenty polls a second.
@@ -222,6 +222,7 @@
     /// again.
     pub(crate) fn replace_stuck_runs(&mut self, now: Now) {
         let slowdowns = worker_slowdowns(&self.run_time_estimates());
+        // Worker, run, whether a copy may be started, and whether the run itself is stuck or slow.
         let mut lost_runs = Vec::new();
         for (name, worker) in &self.workers {
             let unresponsive = worker.failed_polls > 0;
@@ -283,7 +284,8 @@
         estimates
     }
 
-    /// Replaces a run by a copy if `may_copy`, otherwise by stopping it.
+    /// Replaces a run: starts a copy if `may_copy`, otherwise stops it. `is_lost` says whether the run itself is stuck
+    /// or slow, rather than its worker unresponsive.
     fn replace_run(
         &mut self,
         name: &WorkerName,
--- a/lilacpass-lead/src/reservations.rs
+++ b/lilacpass-lead/src/reservations.rs
@@ -3,8 +3,9 @@
 //! Load pattern: a full pool in which capacity becomes free in small parts. A task that needs several parts together
 //! would never start, because each part is immediately taken by a small task.
 //!
-//! A reservation excludes the steps that come later in scheduling order. An advance reservation, made for a step that
-//! has waited for long, also excludes all other steps of the same priority. Neither delays a more urgent step.
+//! Steps that come later in scheduling order can't use reserved capacity. An advance reservation is made for a step
+//! that has waited for long, on capacity that is not free yet, and also excludes all other steps of the same priority.
+//! Neither kind of reservation delays a more urgent step.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,12 +14,14 @@
 
 use crate::rank::Rank;
 
-/// Capacity reserved on one worker.
+/// A worker, and the capacity that is reserved on it.
 pub type Share = (WorkerName, Resources);
 
 /// The reservations of all steps.
 #[derive(Debug, Default)]
 pub struct Reservations {
+    /// The reserved capacities on each worker, each with a rank. Steps that come after this rank can't use the
+    /// capacity. For an advance reservation, the rank comes before all steps of the same priority.
     by_worker: BTreeMap<WorkerName, Vec<(Rank, Resources)>>,
     by_step: HashMap<StepName, Reservation>,
 }
@@ -30,7 +33,7 @@
     /// Expiry in ms on the monotonic clock.
     until_ms: u64,
     /// Service of an advance reservation; `None` if the capacity is already free or is being freed by preemption.
-    advance_in: Option<String>,
+    advance_service: Option<String>,
 }
 
 impl Reservations {
@@ -44,7 +47,7 @@
     fn reserve(&mut self, rank: Rank, effective_rank: Rank, shares: Vec<Share>, until_ms: u64) {
         self.release(rank.step);
         let workers = shares.iter().map(|(worker, _)| worker.clone()).collect();
-        self.by_step.insert(rank.step, Reservation { workers, until_ms, advance_in: None });
+        self.by_step.insert(rank.step, Reservation { workers, until_ms, advance_service: None });
         for (worker, capacity) in shares {
             self.by_worker.entry(worker).or_default().push((effective_rank, capacity));
         }
@@ -52,26 +55,27 @@
 
     /// Returns the steps that have an advance reservation, sorted by name.
     pub fn steps_with_advance(&self) -> Vec<StepName> {
-        let ahead = self.by_step.iter().filter(|(_, reservation)| reservation.advance_in.is_some());
-        let mut steps: Vec<StepName> = ahead.map(|(step, _)| *step).collect();
+        let with_advance =
+            self.by_step.iter().filter(|(_, reservation)| reservation.advance_service.is_some());
+        let mut steps: Vec<StepName> = with_advance.map(|(step, _)| *step).collect();
         steps.sort_unstable();
         steps
     }
 
-    /// Reserves capacity on workers of a service that is not free yet. It is reserved against all steps that are not
+    /// Reserves capacity that is not free yet on workers of a service. It is reserved against all steps that are not
     /// more urgent, because otherwise earlier steps of the same priority would take it again and again.
     pub fn set_advance(&mut self, rank: Rank, shares: Vec<Share>, until_ms: u64, service: &str) {
         self.reserve(rank, rank.first_of_priority(), shares, until_ms);
         if let Some(reservation) = self.by_step.get_mut(&rank.step) {
-            reservation.advance_in = Some(service.to_owned());
+            reservation.advance_service = Some(service.to_owned());
         }
     }
 
     /// Returns the number of steps that have an advance reservation on workers of a service.
     pub fn advance_count(&self, service: &str) -> usize {
-        let is_in_pool =
-            |reservation: &&Reservation| reservation.advance_in.as_deref() == Some(service);
-        self.by_step.values().filter(is_in_pool).count()
+        let is_for_service =
+            |reservation: &&Reservation| reservation.advance_service.as_deref() == Some(service);
+        self.by_step.values().filter(is_for_service).count()
     }
 
     /// Releases the reservation of a step. Returns the workers that it was on.
--- a/lilacpass-lead/tests/same_decisions.rs
+++ b/lilacpass-lead/tests/same_decisions.rs
@@ -67,7 +67,7 @@
     for _ in 0..=random.below(3) {
         steps.push(random_step(random));
     }
-    // Members of a gang end one by one in the simulated cell, so no step may wait for one.
+    // Members of a gang end one by one in the simulated cell, so no step may depend on a gang.
     if random.percent(10) {
         steps.push(v1::WorkStep { gang: true, ..step(2, 2_000, 400) });
     }
@@ -91,8 +91,8 @@
     }
 }
 
-/// An operator repeated a simulation to find out why a job had waited, and it took another course: the order of one of
-/// the leader's tables changed from process to process, and the decisions with it.
+/// Failure: an operator repeated a simulation to find out why a job had waited, and got different decisions. They
+/// depended on the iteration order of a hash table, which changes from process to process.
 #[test]
 fn the_same_events_lead_to_the_same_decisions() {
     for seed in 1..=SIMULATIONS {
--- a/lilacpass-lead/tests/world/mod.rs
+++ b/lilacpass-lead/tests/world/mod.rs
@@ -1,9 +1,9 @@
 //! A simulated cell: leader instances, a store and workers in simulated time, with faults that tests switch on.
 //!
-//! Each start of a run is checked as it happens. No worker exceeds its capacity; no task runs in two places unless it
-//! may have copies; none starts again after its end was stored, before the steps that it waits for are done, or too
-//! often after it has crashed workers. Each response about waiting or running jobs is checked against the tasks that
-//! workers have started.
+//! Each start of a run is checked as it happens. No worker exceeds its capacity. No task runs on two workers unless it
+//! may have copies, starts again after its successful end was stored, starts before the steps that it waits for are
+//! done, or starts too often after it has crashed workers. Each response about waiting or running jobs is checked
+//! against the tasks that workers have started.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -34,8 +34,8 @@
 use store::Store;
 use worker::Worker;
 
-/// Time of day at the start, in milliseconds since 1970.
-const DAY_MS: u64 = 1_800_000_000_000;
+/// Time at the start of a simulation, in ms since the Unix epoch.
+const START_UNIX_MS: u64 = 1_800_000_000_000;
 /// Time after which a call without a response fails.
 const CALL_TIMEOUT_MS: u64 = 600;
 /// Maximum delay of an order that gets no response but is carried out late.
@@ -88,7 +88,7 @@
     /// An instance with operation costs is free for its next round.
     RunRound { instance: usize },
     /// A worker answers a poll that has waited for the end of a run.
-    PollEnds { instance: usize, worker_index: usize, effect: Effect, sent_ms: u64 },
+    AnswerPoll { instance: usize, worker_index: usize, effect: Effect, sent_ms: u64 },
     /// A task crashes the worker on which it was started.
     Crash { worker: WorkerName, task: TaskName },
     /// A crashed worker is back under a new name.
@@ -112,7 +112,7 @@
     /// Percentage of orders that get no response and may be carried out late.
     pub lost_order_percent: u64,
     pub options: Options,
-    /// When each request got its response, by the number of the request.
+    /// When each request got its response in ms, by the number of the request.
     pub responded_ms: BTreeMap<u64, u64>,
     /// Costs of a leader's operations; `None` if they take no time.
     pub costs: Option<Costs>,
@@ -124,9 +124,9 @@
 
 impl World {
     pub fn new(seed: u64, workers: usize, capacity: Resources) -> Self {
-        let workers = (0..workers).map(|n| Worker::new(n, capacity)).collect();
+        let workers = (0..workers).map(|number| Worker::new(number, capacity)).collect();
         // With RUST_LOG set, the log of a test run shows how it failed.
-        let _already = env_logger::builder().is_test(true).try_init();
+        let _already_initialised = env_logger::builder().is_test(true).try_init();
         let mut world = Self {
             now_ms: 1_000,
             random: Random(seed | 1),
@@ -150,7 +150,7 @@
     }
 
     pub fn now(&self) -> Now {
-        Now { steady_ms: self.now_ms, unix_ms: DAY_MS + self.now_ms }
+        Now { steady_ms: self.now_ms, unix_ms: START_UNIX_MS + self.now_ms }
     }
 
     /// The instance that took over last, from which the store accepts records.
@@ -204,7 +204,7 @@
         );
     }
 
-    /// Removes the registration of a worker from the store.
+    /// Tells the leader that the store has dropped the registration of a worker from which it got no heartbeat.
     pub fn unregister(&mut self, worker_index: usize) {
         let instance = self.instances.len() - 1;
         self.deliver(instance, Event::WorkerUnregistered(self.workers[worker_index].name.clone()));
@@ -246,7 +246,7 @@
     }
 
     pub fn response(&self, request_id: RequestId) -> Option<&Response> {
-        self.responses.iter().find(|(t, _)| *t == request_id).map(|(_, response)| response)
+        self.responses.iter().find(|(id, _)| *id == request_id).map(|(_, response)| response)
     }
 
     /// Advances the simulated time, and carries out what is scheduled meanwhile.
@@ -290,8 +290,8 @@
                 }
                 self.schedule(300, Action::Renew { instance });
                 let sent_ms = self.now_ms;
-                let in_force = self.instances[instance].epoch == self.store.epoch;
-                if in_force && !self.store.down && !self.is_paused(instance) {
+                let is_leading = self.instances[instance].epoch == self.store.epoch;
+                if is_leading && !self.store.down && !self.is_paused(instance) {
                     self.deliver(instance, Event::LeadershipConfirmed { sent_ms });
                 }
             }
@@ -299,7 +299,7 @@
                 self.carry_out(instance, effect, is_answered);
             }
             Action::RunRound { instance } => self.run_round(instance),
-            Action::PollEnds { instance, worker_index, effect, sent_ms } => {
+            Action::AnswerPoll { instance, worker_index, effect, sent_ms } => {
                 self.answer_waiting_poll(instance, worker_index, &effect, sent_ms);
             }
             Action::Crash { worker, task } => self.crash_under(&worker, task),
@@ -394,7 +394,7 @@
                 self.advice_calls.push((step, workers.len()));
                 let good = workers
                     .iter()
-                    .filter(|worker| is_good(worker))
+                    .filter(|worker| is_allowed(worker))
                     .map(|worker| WorkerTicket { worker: worker.clone(), ticket: "t".to_owned() })
                     .collect();
                 let advice = Some(Advice { good, valid_ms: 2_500 });
@@ -427,7 +427,8 @@
             | Effect::Poll { worker, address, .. } => (worker.clone(), address.clone()),
             _ => return,
         };
-        let worker_index = self.workers.iter().position(|w| w.alive && w.address == address);
+        let worker_index =
+            self.workers.iter().position(|worker| worker.alive && worker.address == address);
         let reachable =
             worker_index.filter(|&worker_index| !self.workers[worker_index].unreachable);
         let Some(worker_index) = reachable else {
@@ -456,8 +457,9 @@
                 if self.costs.is_some() && result.is_ok() {
                     let wait_ms = self.workers[worker_index].next_end_ms(*wait_ms, now_ms);
                     let effect = effect.clone();
-                    let ends = Action::PollEnds { instance, worker_index, effect, sent_ms: now_ms };
-                    return self.schedule(wait_ms, ends);
+                    let answer =
+                        Action::AnswerPoll { instance, worker_index, effect, sent_ms: now_ms };
+                    return self.schedule(wait_ms, answer);
                 }
                 // A poll is answered when a run ends. Without operation costs, this is after part of its wait.
                 let wait_ms = (*wait_ms).min(100);
@@ -529,7 +531,7 @@
             );
             assert!(
                 !worker.stored_done.contains(&task),
-                "{task} starts again after its end was stored"
+                "{task} starts again after its successful end was stored"
             );
         }
         let need = lilacpass_lead::place::need(plan);
@@ -551,12 +553,12 @@
 }
 
 /// Whether a worker may run steps that need advice: those with an even number may.
-fn is_good(worker: &WorkerName) -> bool {
+fn is_allowed(worker: &WorkerName) -> bool {
     worker
         .as_str()
         .bytes()
         .last()
-        .is_some_and(|b| b.is_ascii_digit() && (b - b'0').is_multiple_of(2))
+        .is_some_and(|byte| byte.is_ascii_digit() && (byte - b'0').is_multiple_of(2))
 }
 
 /// A plan of steps that run one after the other.
--- a/lilacpass-node/src/desired_relay.rs
+++ b/lilacpass-node/src/desired_relay.rs
@@ -25,8 +25,8 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Timeout for the beginning of a response, and for each pause within it.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Pause after a call that returned no desired state. Jitter is added, so that the instances of a data centre that is
-/// cut off do not send their requests at the same time.
+/// Pause after each call, unless the peer asks for a longer one. Jitter is applied to it, so that the instances of a
+/// data centre that is cut off do not send their requests at the same time.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 /// Share of the instance's own link that responses may use; the rest is left to heartbeats and client requests.
 const LINK_SHARE: f64 = 0.5;
@@ -43,6 +43,7 @@
 /// Limits the bandwidth of responses to a share of the link.
 #[derive(Debug, Default)]
 pub struct Pacing {
+    /// Time from which the share of the link is free again, on the steady clock.
     free_at_ms: Cell<u64>,
 }
 
@@ -61,8 +62,8 @@
 }
 
 /// Responds to a peer that requests the desired state.
-pub fn serve(node: &Node, question: &v1::PeerConfig) -> v1::PeerConfigReply {
-    let newer = node.published().filter(|p| p.desired.version > question.known_version);
+pub fn serve(node: &Node, request: &v1::PeerConfig) -> v1::PeerConfigReply {
+    let newer = node.published().filter(|p| p.desired.version > request.known_version);
     let Some(published) = newer else { return v1::PeerConfigReply::default() };
     let now_ms = clock::now().steady_ms;
     let bytes = size::Bytes(published.bytes.len() as u64);
@@ -140,6 +141,6 @@
     let own_address = node.peer_address();
     let known = node.known_members.borrow();
     let others = known.addresses.iter().filter(|address| **address != own_address);
-    let any = others.choose(&mut rand::rng()).cloned();
-    any.filter(|_| rand::rng().random()).unwrap_or_else(|| source.address.clone())
+    let random_peer = others.choose(&mut rand::rng()).cloned();
+    random_peer.filter(|_| rand::rng().random()).unwrap_or_else(|| source.address.clone())
 }
--- a/lilacpass-node/src/node.rs
+++ b/lilacpass-node/src/node.rs
@@ -78,7 +78,7 @@
     pub last_leader_response_ms: Cell<u64>,
     /// Whether the last heartbeat to the leader failed.
     pub leader_unresponsive: Cell<bool>,
-    /// Neither the leader nor the store responds, so that this instance would not learn of a new leader soon.
+    /// Whether neither the leader nor the store responds, so that this instance would not learn of a new leader soon.
     pub cut_off: Cell<bool>,
     /// Readiness that was last reported to the platform.
     pub reported_ready: Cell<bool>,
@@ -86,8 +86,8 @@
     pub leader_store_reachable: Cell<bool>,
     /// Time of the last response of the store, on the steady clock.
     pub last_store_response_ms: Cell<u64>,
-    /// Time since which the store has been refusing all calls, on the steady clock; `None` if it responded to the last
-    /// one.
+    /// Time since which the store has been refusing all calls, on the steady clock; `None` if it has refused none
+    /// since its last response.
     pub store_failing_since_ms: Cell<Option<u64>>,
     /// Estimated latency of an append to the store.
     pub append_latency: Cell<Duration>,
@@ -112,8 +112,9 @@
     pub metrics: Metrics,
 }
 
-/// How long after its last response the leader considers the store reachable, in milliseconds. The watch for the
-/// desired state receives a response at least every two seconds, and renewals several a second.
+/// How long the leader considers the store reachable after a response of the store, in milliseconds. The leader's
+/// renewals receive several responses a second; the watch for the desired state alone receives at least one every two
+/// seconds.
 const STORE_REACHABLE_MS: u64 = 900;
 
 impl Node {
@@ -244,8 +245,8 @@
 
     /// The source of a version that is newer than this instance's own and not known to be unreadable.
     pub fn newer_desired_source(&self) -> Option<DesiredSource> {
-        let tried_version = self.desired_version().max(self.unreadable_desired_version.get());
-        self.desired_source.borrow().clone().filter(|known| known.version > tried_version)
+        let obtained_version = self.desired_version().max(self.unreadable_desired_version.get());
+        self.desired_source.borrow().clone().filter(|known| known.version > obtained_version)
     }
 
     /// Whether this instance leads.
@@ -290,8 +291,8 @@
         if let Some(since_ms) = self.store_failing_since_ms.get() {
             return now_ms.saturating_sub(since_ms);
         }
-        let silent_ms = now_ms.saturating_sub(self.last_store_response_ms.get());
-        if silent_ms > STORE_REACHABLE_MS { silent_ms } else { 0 }
+        let unresponsive_ms = now_ms.saturating_sub(self.last_store_response_ms.get());
+        if unresponsive_ms > STORE_REACHABLE_MS { unresponsive_ms } else { 0 }
     }
 
     /// Whether the store has responded recently.
@@ -306,7 +307,8 @@
     }
 }
 
-/// As [`STORE_REACHABLE_MS`], for an instance that does not lead, and so calls the store less often.
+/// As [`STORE_REACHABLE_MS`], for an instance that does not lead. If the store is reachable, such an instance receives
+/// a response at least this often, from the watch for the desired state.
 const FOLLOWER_STORE_REACHABLE_MS: u64 = 3_000;
 
 fn parse(address: &str) -> io::Result<SocketAddr> {
--- a/lilacpass-node/tests/peer_messages.rs
+++ b/lilacpass-node/tests/peer_messages.rs
@@ -19,7 +19,7 @@
 /// A change to a message: kind of change, position, and byte.
 type Damage = (u8, u16, u8);
 
-/// Messages that instances forward to the leader, with their paths.
+/// Valid messages between the leader and other instances, with their paths.
 fn valid() -> Vec<(&'static str, Vec<u8>)> {
     let queue = v1::QueuePolicy { name: "quick".to_owned(), attempts: 3, ..Default::default() };
     let step = v1::WorkStep { count: 2, cpu_milli: 100, memory_mb: 10, ..Default::default() };
@@ -66,8 +66,8 @@
 fn messages() -> Vec<(&'static str, Vec<u8>)> {
     let valid = valid();
     let generated = Mutex::new(Vec::new());
-    lilacpass_fuzz::check::<(u8, Vec<Damage>)>(SEEDS, 1 << 6, |(which, damages)| {
-        let (path, bytes) = &valid[usize::from(*which) % valid.len()];
+    lilacpass_fuzz::check::<(u8, Vec<Damage>)>(SEEDS, 1 << 6, |(index, damages)| {
+        let (path, bytes) = &valid[usize::from(*index) % valid.len()];
         generated.lock().expect("messages").push((*path, damaged(bytes, damages)));
     });
     generated.into_inner().expect("messages")
@@ -112,7 +112,7 @@
             );
         }
         let (path, message) = oversized_messages().remove(0);
-        let body = client.call(&call(&address, path, message)).await.expect("an response").body;
+        let body = client.call(&call(&address, path, message)).await.expect("a response").body;
         let reply = v1::PeerWorkReply::decode(body).expect("a reply");
         assert_eq!(reply.outcome(), v1::WorkOutcome::WorkInvalid, "{}", reply.detail);
         assert!(!cluster.instances[0].has_ended().expect("a result"), "the instance has ended");
