--- a/lilacpass-lead/src/advance_reservations.rs
+++ b/lilacpass-lead/src/advance_reservations.rs
@@ -19,8 +19,9 @@
 /// At most one step per this many workers of a pool has an advance reservation, so that most of the pool keeps running
 /// whatever fits.
 const WORKERS_PER_RESERVATION: usize = 12;
-/// One lane in this many, but at least one, may be used at a time for steps with an advance reservation.
-const LANES_PER_CALL: usize = 4;
+/// Calls for advice for steps with an advance reservation may use one lane in this many at a time, but always at least
+/// one.
+const LANES_PER_RESERVATION_CALL: usize = 4;
 /// Time in ms that an advance reservation lasts beyond the time at which the capacity should be free.
 const SLACK_MS: u64 = 1_500;
 /// Maximum duration of an advance reservation in ms, since the time at which capacity becomes free is only an estimate.
@@ -65,7 +66,8 @@
         let has_pending_call =
             |step: &StepName| self.advice.get(step).is_some_and(|advice| advice.call_pending);
         let pending = steps.iter().filter(|step| has_pending_call(step)).count();
-        let max_calls = (self.lanes.len() / LANES_PER_CALL).max(1).saturating_sub(pending);
+        let max_calls =
+            (self.lanes.len() / LANES_PER_RESERVATION_CALL).max(1).saturating_sub(pending);
         let steps: Vec<StepName> =
             steps.into_iter().filter(|step| !has_pending_call(step)).collect();
         for step in steps.into_iter().take(max_calls) {
@@ -83,8 +85,9 @@
         let Some(rank) = self.waiting.rank_of(name) else { return };
         let plan = entry.job.step_plan(name.step);
         let service = &entry.job.queue.service;
-        let pool = self.pool_sizes.get(service).copied().unwrap_or(0);
-        if self.reservations.advance_count(service) >= (pool / WORKERS_PER_RESERVATION).max(1) {
+        let pool_size = self.pool_sizes.get(service).copied().unwrap_or(0);
+        if self.reservations.advance_count(service) >= (pool_size / WORKERS_PER_RESERVATION).max(1)
+        {
             return;
         }
         let worker_count = if plan.gang { u64::from(plan.count) } else { 1 };
@@ -104,8 +107,8 @@
     }
 
     /// Returns the workers that will be able to hold a task of a step. They include workers of which it is unknown
-    /// whether the step may run there, because the step never gets to request advice about them if all free capacity is
-    /// taken at once.
+    /// whether the step may run there. Advice is requested about workers with enough free capacity, so the step
+    /// might never learn about them if other tasks take all capacity as soon as it becomes free.
     fn advance_offers(
         &self,
         name: StepName,
@@ -160,9 +163,9 @@
         let mut wait_ms = 0;
         let mut ends = ends.into_iter();
         while !need.fits(&worker.free_capacity_after(&freed).minus(&reserved)) {
-            let (remaining_ms, need) = ends.next()?;
+            let (remaining_ms, resources) = ends.next()?;
             wait_ms = remaining_ms;
-            freed = freed.plus(&need);
+            freed = freed.plus(&resources);
         }
         Some(wait_ms)
     }
--- a/lilacpass-lead/src/advice.rs
+++ b/lilacpass-lead/src/advice.rs
@@ -199,7 +199,8 @@
         Some(lane)
     }
 
-    /// Returns whether a queue may make one more call that takes `expected_ms`, provided that a lane is idle.
+    /// Returns whether the limit on slow calls of a queue permits one more call that takes `expected_ms`. Does not
+    /// check whether a lane is idle.
     pub fn may_call(&self, queue: &str, expected_ms: u64) -> bool {
         let slow_calls = self.load.slow_calls.get(queue).copied().unwrap_or(0);
         expected_ms <= SLOW_CALL_MS || slow_calls < self.max_slow_calls()
--- a/lilacpass-lead/src/advice_requests.rs
+++ b/lilacpass-lead/src/advice_requests.rs
@@ -26,8 +26,8 @@
 /// Calls with a minimum duration above this are not made before their step may start, because tickets expire after
 /// about 2 s and time on the lanes for slow calls is scarce: the advice service handles one call per lane at a time.
 const MAX_EARLY_CALL_MS: f64 = 50.0;
-/// Maximum time that a call may take longer because it also names workers without enough free capacity, as a share of
-/// its minimum duration.
+/// Maximum extra duration of a call that also names workers without enough free capacity, as a share of its minimum
+/// duration.
 const EXTRA_WORKERS_TIME_SHARE: f64 = 0.5;
 /// Minimum number of tasks that the allowed workers among those named should have capacity for.
 const MIN_TARGET_TASKS: u64 = 4;
--- a/lilacpass-lead/src/candidates.rs
+++ b/lilacpass-lead/src/candidates.rs
@@ -124,7 +124,7 @@
         self.rate_many(search, demand, now)
     }
 
-    /// Rates workers when many may be suitable, and sorts them, best first.
+    /// Rates workers and returns them, best first. Avoids rating all workers if possible, as many may be suitable.
     fn rate_many(&self, search: &Search<'_>, demand: &AdviceDemand, now: Now) -> Vec<Rated<'_>> {
         // The order of preference in the capacity index does not consider racks.
         let by_rack = !search.plan.affinity_rack.is_empty();
@@ -145,6 +145,7 @@
         allowed.sort_unstable_by_key(|worker| &worker.registration.name);
         let mut rated = best_rated(self.rate_all(search, allowed.into_iter(), now));
         let home = search.entry.home_for(search.plan);
+        // Preemption may free enough capacity on any worker, so none is left out because it has too little now.
         let need = if search.with_preemption { Resources::ZERO } else { search.need };
         let names = self.capacity_index.by_preference(&search.entry.job.queue.service, home, need);
         let mut others = names
@@ -167,7 +168,8 @@
         workers.filter_map(|worker| self.rate(search, worker, now)).collect()
     }
 
-    /// Rates a worker for the step. Returns `None` if it cannot run a task of the step or does not need to be named.
+    /// Rates a worker for the step. Returns `None` if it cannot run a task of the step, or if the step already has a
+    /// valid ticket for it.
     fn rate<'a>(&self, search: &Search<'_>, worker: &'a Worker, now: Now) -> Option<Rated<'a>> {
         let Search { name, plan, entry, advice, need, rank, waiting, with_preemption } = search;
         // The cheap checks come first, because in a full cell each waiting step goes through many workers.
--- a/lilacpass-lead/src/capacity_index.rs
+++ b/lilacpass-lead/src/capacity_index.rs
@@ -32,7 +32,7 @@
     /// Free resources by free CPU in thousandths of a core and worker name.
     by_cpu: BTreeMap<(u64, WorkerName), Resources>,
     /// For each data centre, the free resources of its workers in order of preference.
-    by_score: BTreeMap<String, BTreeMap<PreferenceKey, Resources>>,
+    by_data_centre: BTreeMap<String, BTreeMap<PreferenceKey, Resources>>,
 }
 
 /// The position of a worker in the index.
@@ -81,8 +81,8 @@
         self.remove(name);
         let pool = &mut self.pools[entry.pool];
         pool.by_cpu.insert((free.cpu.0, name.clone()), free);
-        let data_centre = pool.by_score.entry(entry.data_centre.clone()).or_default();
-        data_centre.insert(entry.key.clone(), free);
+        let workers = pool.by_data_centre.entry(entry.data_centre.clone()).or_default();
+        workers.insert(entry.key.clone(), free);
         self.entries.insert(name.clone(), entry);
     }
 
@@ -91,13 +91,14 @@
         let Some(entry) = self.entries.remove(worker) else { return };
         let pool = &mut self.pools[entry.pool];
         pool.by_cpu.remove(&(entry.free.cpu.0, worker.clone()));
-        if let Some(data_centre) = pool.by_score.get_mut(&entry.data_centre) {
-            data_centre.remove(&entry.key);
+        if let Some(workers) = pool.by_data_centre.get_mut(&entry.data_centre) {
+            workers.remove(&entry.key);
         }
     }
 
-    /// Returns the workers of a service on which `need` fits, in order of preference: workers in the home data centre
-    /// first, then those with more accelerators in use, with a greater free share of CPU, and by name.
+    /// Returns the workers of a service on which `need` fits, in order of preference: all workers in the home data
+    /// centre come before the others. Each of the two groups is sorted by accelerators in use, most first, then by free
+    /// share of CPU, greatest first, and then by name.
     pub fn by_preference(
         &self,
         service: &str,
@@ -105,8 +106,8 @@
         need: Resources,
     ) -> impl Iterator<Item = &WorkerName> {
         let pool = self.pools.iter().find(|pool| pool.service == service);
-        let at_home = pool.and_then(|pool| pool.by_score.get(home?));
-        let data_centres = pool.into_iter().flat_map(|pool| &pool.by_score);
+        let at_home = pool.and_then(|pool| pool.by_data_centre.get(home?));
+        let data_centres = pool.into_iter().flat_map(|pool| &pool.by_data_centre);
         let others =
             data_centres.filter(move |(data_centre, _)| Some(data_centre.as_str()) != home);
         let mut others: Vec<_> = others.map(|(_, workers)| workers.iter()).collect();
@@ -149,8 +150,8 @@
         if let Some(at) = self.pools.iter().position(|pool| pool.service == service) {
             return at;
         }
-        let (by_cpu, by_score) = (BTreeMap::new(), BTreeMap::new());
-        self.pools.push(Pool { service: service.to_owned(), by_cpu, by_score });
+        let (by_cpu, by_data_centre) = (BTreeMap::new(), BTreeMap::new());
+        self.pools.push(Pool { service: service.to_owned(), by_cpu, by_data_centre });
         self.pools.len() - 1
     }
 }
--- a/lilacpass-lead/src/crash_suspicion.rs
+++ b/lilacpass-lead/src/crash_suspicion.rs
@@ -81,7 +81,7 @@
         entry.is_some_and(|entry| entry.job.is_suspected(step.task(index.unwrap_or(0))))
     }
 
-    /// The other outages at the time at which a worker was lost.
+    /// Classifies the loss of a worker by the other outages at about the same time.
     fn circumstances(&self, worker: &Worker, now: Now) -> Circumstances {
         let since_ms = worker.unresponsive_since_ms.unwrap_or(now.steady_ms);
         let response_age_ms = since_ms.saturating_sub(worker.last_response_ms);
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Whether half of a worker's rack was lost at the same time.
+    /// Whether at least half of a worker's rack, and at least [`MIN_RACK_OUTAGES`] other workers in it, were lost at
+    /// the same time.
     fn is_rack_lost(&self, worker: &Worker, concurrent: &[&Outage]) -> bool {
         let rack = worker.rack();
         let lost = concurrent.iter().filter(|other| !rack.is_empty() && other.rack == rack).count();
@@ -133,7 +134,8 @@
     UnknownTime,
     /// Several other workers were lost at the same time, and it is unclear whether there is a common cause.
     Shared,
-    /// Other workers were lost without a suspect, or many were lost at an unknown time: the cause is a common one.
+    /// There is a common cause: several other workers that had no suspect were lost at the same time, or the time of
+    /// the loss is unknown and many were lost.
     Explained,
 }
 
--- a/lilacpass-lead/src/event.rs
+++ b/lilacpass-lead/src/event.rs
@@ -169,7 +169,7 @@
     pub remaining_ms: Option<u64>,
 }
 
-/// A client of the advice service. The service handles one call per lane at a time.
+/// The address of an instance that can call the advice service. The service handles one call per lane at a time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Lane(pub String);
 
--- a/lilacpass-lead/src/health.rs
+++ b/lilacpass-lead/src/health.rs
@@ -16,7 +16,7 @@
 const QUARANTINE_JOBS: usize = 2;
 /// Length of the first quarantine of a worker. Faults of workers last for some seconds.
 const FIRST_QUARANTINE_MS: u64 = 2_000;
-/// How often the length of the quarantine is doubled at most.
+/// Maximum number of times that the length of a worker's quarantine is doubled.
 const MAX_QUARANTINE_DOUBLINGS: u32 = 2;
 /// At most one worker in this many is quarantined, whatever the evidence is, to limit the capacity lost to mistakes.
 pub const MIN_WORKERS_PER_QUARANTINE: usize = 4;
--- a/lilacpass-lead/src/hosts.rs
+++ b/lilacpass-lead/src/hosts.rs
@@ -43,7 +43,8 @@
 }
 
 impl HostSelector {
-    /// Chooses the host for the next task of a call of [`pick`] that has already picked hosts for `picked` tasks.
+    /// Chooses the host for the next task. `picked` is the number of tasks for which the current call of [`pick`] has
+    /// already picked hosts; it gives each task its own random draws.
     fn choose<'a>(&self, mut eligible: Vec<&'a mut Host>, picked: usize) -> Option<&'a mut Host> {
         let draw = |number: u64| {
             let mut hasher = DefaultHasher::new();
--- a/lilacpass-lead/src/leader.rs
+++ b/lilacpass-lead/src/leader.rs
@@ -116,7 +116,7 @@
     /// The steps that are allowed to run on each worker, as far as advice is known.
     pub(crate) allowed_steps: HashMap<WorkerName, BTreeSet<StepName>>,
     pub(crate) reservations: Reservations,
-    /// Steps for which runs to preempt were searched for in this round.
+    /// Number of steps for which this round has searched for runs to preempt.
     pub(crate) preemption_searches: u32,
     pub(crate) work: SchedulingWork,
     pub(crate) scan: Scan,
@@ -131,8 +131,8 @@
     /// Open jobs whose tasks ran on workers that crashed.
     pub(crate) crash_affected_jobs: BTreeSet<JobKey>,
     pub(crate) counters: Counters,
-    /// Workers without a regular poll in flight: few at any time. With 3,000 workers, going through all of them on
-    /// each event and sorting them for each request for advice took 17 % of a core, out of 60 % for the whole leader.
+    /// Workers without a regular poll in flight: few at any time. With 3,000 workers, going through all workers on each
+    /// event and sorting all workers for each request for advice took 17 % of a core, out of 60 % for the whole leader.
     pub(crate) unpolled_workers: BTreeSet<WorkerName>,
     /// The lowest urgency (the greatest priority number) of an open job, as of the last review.
     pub(crate) least_urgent_priority: u32,
@@ -145,7 +145,7 @@
     pub(crate) allowed_shares: HashMap<String, f64>,
     /// Effects collected since the last call of [`Leader::finish`].
     pub(crate) effects: Vec<Effect>,
-    /// When the last call was sent by which the store confirmed the leadership, on the monotonic clock.
+    /// Send time of the latest call in whose response the store confirmed the leadership, on the monotonic clock.
     pub(crate) leadership_confirmed_ms: u64,
     /// When the last append was sent, on the monotonic clock.
     pub(crate) append_sent_ms: u64,
@@ -322,8 +322,7 @@
             < self.options.unconfirmed_lease_ms
     }
 
-    /// How long the current append has not been stored, in ms, including repetitions after refusals; 0 if there is
-    /// none.
+    /// Time in ms since the current append was first sent, including repetitions after refusals; 0 if there is none.
     pub fn store_stuck_ms(&self, now: Now) -> u64 {
         self.outbox.stuck_ms(now.steady_ms)
     }
--- a/lilacpass-lead/src/lost_workers.rs
+++ b/lilacpass-lead/src/lost_workers.rs
@@ -52,6 +52,8 @@
             self.workers.get_mut(name).map(|worker| mem::take(&mut worker.expired_runs));
         suspicions.extend(expired_runs.into_iter().flatten());
         suspicions.sort_by_key(|(key, suspicion)| Reverse((*suspicion, self.crash_count(key.0))));
+        // The most suspected runs come first. If the job of one of them fails because of the crashes of its task, that
+        // explains this crash too, and the tasks of the remaining runs are cleared.
         let mut has_explanation = false;
         for (key, suspicion) in suspicions {
             let suspicion = if has_explanation { Suspicion::Cleared } else { suspicion };
@@ -125,8 +127,8 @@
         failure.is_some_and(|failure| failure.cause == Cause::Crashes && failure.task == task)
     }
 
-    /// Clears the other tasks that ran on the workers that `culprit` has crashed. The job of `culprit` has failed
-    /// because of these crashes.
+    /// Clears the tasks of other jobs that ran on the workers that `culprit` has crashed. The job of `culprit` has
+    /// failed because of these crashes.
     fn explain_crashes(&mut self, culprit: TaskName) {
         let job = self.jobs.get(&culprit.step.job).map(|entry| &entry.job);
         let workers = job.map(|job| job.crashed_workers(culprit)).unwrap_or_default();
--- a/lilacpass-lead/src/options.rs
+++ b/lilacpass-lead/src/options.rs
@@ -38,7 +38,7 @@
     pub stop_retry_ms: u64,
     /// Time for which no run is started on a worker that has just refused an order or not responded.
     pub worker_avoidance_ms: u64,
-    /// Time for which the store may refuse all appends until jobs that wait to be stored are refused. A client that
+    /// Time for which the store may refuse all appends before jobs that wait to be stored are refused. A client that
     /// retries after a second is served sooner than one that waits for the end of an outage.
     pub store_refusal_limit_ms: u64,
     /// The same limit while the store does not respond at all. A slow store takes up to 0.6 s for an append, and twice
@@ -98,7 +98,7 @@
     }
 }
 
-/// A mechanism of the leader beyond scheduling in order that can be disabled by itself.
+/// A mechanism that the leader uses beyond scheduling in order. Each one can be disabled separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
     /// Work that saves checkpoints is preempted for more urgent work.
@@ -199,6 +199,7 @@
 /// worker's clock was last read `age_ms` ago.
 pub fn max_lease_ms(lease_ms: u64, age_ms: u64) -> u64 {
     let drift_ms = age_ms * WORKER_CLOCK_SLOW_PERCENT / 100;
+    // A clock that is 2 % slow takes 100/98 of the time, slightly more than 102 %.
     let slow_ms = (lease_ms + drift_ms) * (100 + WORKER_CLOCK_SLOW_PERCENT + 1) / 100;
     slow_ms + LEASE_MARGIN_MS
 }
--- a/lilacpass-lead/src/orders.rs
+++ b/lilacpass-lead/src/orders.rs
@@ -223,14 +223,14 @@
     pub(crate) fn replace_stuck_runs(&mut self, now: Now) {
         let slowdowns = worker_slowdowns(&self.run_time_estimates());
         // Worker, run, whether a copy may be started, and whether the run itself is stuck or slow.
-        let mut lost_runs = Vec::new();
+        let mut runs_to_replace = Vec::new();
         for (name, worker) in &self.workers {
             let unresponsive = worker.failed_polls > 0;
             let slowdowns = slowdowns.get(name).map(Vec::as_slice).unwrap_or_default();
             let is_slow = !unresponsive && progress::is_slow_worker(slowdowns);
             for (key, assigned) in &worker.runs {
                 if unresponsive && self.may_have_copy(*key, assigned) {
-                    lost_runs.push((name.clone(), *key, true, false));
+                    runs_to_replace.push((name.clone(), *key, true, false));
                     continue;
                 }
                 let Some(plan) = self.replaceable_plan(*key, assigned) else { continue };
@@ -240,11 +240,11 @@
                         || is_slow && !progress.is_nearly_done()
                 });
                 if is_lost {
-                    lost_runs.push((name.clone(), *key, plan.speculative, is_lost));
+                    runs_to_replace.push((name.clone(), *key, plan.speculative, is_lost));
                 }
             }
         }
-        for (name, key, may_copy, is_lost) in lost_runs {
+        for (name, key, may_copy, is_lost) in runs_to_replace {
             self.replace_run(&name, key, may_copy, is_lost, now);
         }
     }
--- a/lilacpass-lead/src/outbox.rs
+++ b/lilacpass-lead/src/outbox.rs
@@ -114,8 +114,7 @@
         self.next_append_ms = now_ms + APPEND_RETRY_MS;
     }
 
-    /// How long the current append has not been stored, in ms, including repetitions after refusals; 0 if there is
-    /// none.
+    /// Time in ms since the current append was first sent, including repetitions after refusals; 0 if there is none.
     pub fn stuck_ms(&self, now_ms: u64) -> u64 {
         self.first_sent_ms.map_or(0, |sent_ms| now_ms.saturating_sub(sent_ms))
     }
