--- a/lilacpass-lead/src/advice_requests.rs
+++ b/lilacpass-lead/src/advice_requests.rs
@@ -23,8 +23,9 @@
 /// The allowed workers among those named should have capacity for this many times the waiting tasks, because other
 /// steps take some of it before the response arrives.
 const TASK_MARGIN: f64 = 1.5;
-/// Calls with a minimum duration above this are not made before their step may start, because tickets expire after
-/// about 2 s and time on the lanes for slow calls is scarce: the advice service handles one call per lane at a time.
+/// Advice for a step that may not start yet is requested only if the minimum duration of the call is at most this,
+/// because tickets expire after about 2 s and time on the lanes for slow calls is scarce: the advice service handles
+/// one call per lane at a time.
 const MAX_EARLY_CALL_MS: f64 = 50.0;
 /// Maximum extra duration of a call that also names workers without enough free capacity, as a share of its minimum
 /// duration.
--- a/lilacpass-lead/src/crash_suspicion.rs
+++ b/lilacpass-lead/src/crash_suspicion.rs
@@ -19,8 +19,8 @@
     worker::{AssignedRun, Phase, RunKey, Worker},
 };
 
-/// Number of concurrent outages of other workers at which the tasks of a worker are cleared. Only outages without a
-/// suspect are counted.
+/// Number of concurrent outages of other workers at which a common cause is assumed. Only outages without a suspect are
+/// counted.
 const MIN_OUTAGES_WITHOUT_SUSPECT: usize = 2;
 /// Number of concurrent outages of other workers, with or without suspects, at which it is unclear whether they have a
 /// common cause. If the leader notices them around a stall of its own, a common cause is assumed.
@@ -48,6 +48,7 @@
             let has_started = assigned.started_ms.is_some();
             let is_only = is_suspect && suspects.len() == 1 && has_started;
             match circumstances {
+                // A common cause weakens the suspicion against a task that was suspected before, but does not clear it.
                 Circumstances::Explained if is_suspect && was_any_suspected_before => {
                     Suspicion::Present
                 }
