--- a/lilacpass-node/src/election.rs
+++ b/lilacpass-node/src/election.rs
@@ -39,9 +39,9 @@
 const CLAIM_WAIT: Duration = Duration::from_millis(1_300);
 /// Upper bound of the random delay that separates instances that notice the same failure at the same time.
 const MAX_JITTER: Duration = Duration::from_millis(40);
-/// Additional wait of an instance that is smaller than others, which notice the same failure and announce their
-/// take-over meanwhile. The leader of 350 workers uses a quarter of a core. With an eighth of a core it places 200
-/// tasks a second while 700 arrive, and never catches up.
+/// Additional wait of an instance that is smaller than others. The larger ones notice the same failure, and announce
+/// their take-over meanwhile. The leader of 350 workers uses a quarter of a core. With an eighth of a core it places
+/// 200 tasks a second while 700 arrive, and never catches up.
 const SMALL_INSTANCE_DELAY: Duration = Duration::from_millis(350);
 /// CPU limit, in thousandths of a core, below which an instance counts as small before the leader has reported the size
 /// of the other instances.
@@ -51,8 +51,9 @@
 const CUT_OFF_HEARTBEATS: u32 = 3;
 /// Timeout of a store call in this module.
 const STORE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Timeout for storing the announcement of a take-over, which takes a slow store 0.8 s. With a shorter timeout,
-/// announcements were stored after they had been given up, and every instance waited for a take-over that never came.
+/// Timeout for storing the announcement of a take-over. Storing it takes a slow store 0.8 s. With a shorter timeout,
+/// announcements were stored after their senders had given them up, and every instance waited for a take-over that
+/// never came.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Store timeout of an instance that is asked to take over from a leader that is not about to stop. A store that is
 /// slow for every instance is no reason to change the leader.
@@ -81,7 +82,7 @@
 
 /// Follows the leader, or takes over when it has failed, for as long as the process runs.
 pub async fn run(node: Rc<Node>) {
-    let mut store_failures = 0;
+    let mut cut_off_heartbeats = 0;
     loop {
         if node.leads() {
             leader_handle::wait_until_ended(&node).await;
@@ -94,8 +95,8 @@
         };
         match send_heartbeat(&node, &address, view.epoch).await {
             HeartbeatResult::Leads { store_reachable } => {
-                store_failures = if store_reachable { 0 } else { store_failures + 1 };
-                if store_failures >= CUT_OFF_HEARTBEATS && node.store_reachable() {
+                cut_off_heartbeats = if store_reachable { 0 } else { cut_off_heartbeats + 1 };
+                if cut_off_heartbeats >= CUT_OFF_HEARTBEATS && node.store_reachable() {
                     log::info!(leader = address.as_str(); "leader cannot reach the store");
                     campaign_with_heartbeats(&node, &address, view.epoch).await;
                 }
@@ -251,7 +252,8 @@
     };
     log::info!("take-over requested");
     // Other instances see the former leader resign before the new one is known. The announcement keeps them from taking
-    // over from the new leader at once. It fails if the former leader has written a renewal since, which is harmless.
+    // over from the new leader at once. It is not stored if the former leader has written a renewal since. That is
+    // harmless: the take-over goes on without it.
     let node = node.clone();
     // A separate task completes even if the connection to the former leader is closed.
     let taking_over = tokio::task::spawn_local(async move {
--- a/lilacpass-node/src/leader_loop.rs
+++ b/lilacpass-node/src/leader_loop.rs
@@ -31,8 +31,8 @@
 
 /// Interval of the leader's ticks, which bounds how late it notices that a deadline has passed.
 const TICK: Duration = Duration::from_millis(50);
-/// Interval between renewals of the leader record. Followers that cannot reach a leader wait at least about 0.3 s for
-/// a renewal.
+/// Interval between renewals of the leader record. Followers that cannot reach a leader wait about 0.3 s for a renewal,
+/// and longer if the store is slow.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval between updates of the lanes (instances that can make advice calls) and of the relays, in milliseconds.
 const LANES_INTERVAL_MS: u64 = 200;
@@ -374,7 +374,7 @@
         }
     }
 
-    /// Stores records in the job log, and reports the result to the event loop.
+    /// Stores records in the job log, and reports the result to the leader loop.
     fn append(&mut self, records: Vec<Record>) {
         let calls = append::split(&records, self.node.settings.max_append_bytes);
         let first_sequence = self.next_sequence;
@@ -400,17 +400,17 @@
                     }
                 }
             }
-            // The event loop may have ended.
+            // The leader loop may have ended.
             let _stopped = messages.send(message);
         });
     }
 
-    /// Runs `work` in a task, and passes its event to the event loop.
+    /// Runs `work` in a task, and passes its event to the leader loop.
     fn spawn(&self, work: impl Future<Output = Event> + 'static) {
         let messages = self.messages.clone();
         task::spawn_local(async move {
             let event = work.await;
-            // The event loop may have ended.
+            // The leader loop may have ended.
             let _stopped = messages.send(Message::Event(event));
         });
     }
--- a/lilacpass-node/src/orders.rs
+++ b/lilacpass-node/src/orders.rs
@@ -158,8 +158,9 @@
     if is_conclusive(&other) { other } else { Err(CallError::Failed(Verdict::MayHaveRun)) }
 }
 
-/// Whether the response to one copy also settles the other. A refusal for another reason does not: the other copy may
-/// arrive later, when the reason no longer holds, or may have arrived earlier and be the reason.
+/// Whether the response to one copy also settles the other. A refusal for a reason other than [`Refusal::Fence`] does
+/// not: the other copy may arrive later, when the reason no longer holds, or may have arrived earlier and be the
+/// reason.
 fn is_conclusive(response: &Result<(), CallError>) -> bool {
     matches!(response, Ok(()) | Err(CallError::OtherLife | CallError::Refused(Refusal::Fence)))
 }
--- a/lilacpass-node/src/registered_workers.rs
+++ b/lilacpass-node/src/registered_workers.rs
@@ -46,8 +46,8 @@
     /// Applies records that were written since the last read, in order. Returns events for the workers that have
     /// changed.
     ///
-    /// Each worker writes its entry again and again, mostly unchanged. If the leader received an event for each of
-    /// them, it would look for work for that worker each time.
+    /// Each worker writes its entry again and again, mostly unchanged. If the leader received an event for each write,
+    /// it would look for work for that worker each time.
     pub fn apply_changes(&mut self, records: Vec<StoredRecord>) -> Vec<Event> {
         let mut events = Vec::new();
         for stored in records {
--- a/lilacpass-node/src/relay_choice.rs
+++ b/lilacpass-node/src/relay_choice.rs
@@ -16,7 +16,7 @@
 const RELAY_STOP_UTILISATION: f64 = 0.1;
 /// Share of its CPU limit that an instance may spend on relaying.
 const RELAY_CPU_SHARE: f64 = 0.2;
-/// A relay in use is kept until the others have this many times the CPU that is needed.
+/// A relay in use is kept until the relays selected before it have this many times the CPU that is needed.
 const KEEP_FACTOR: f64 = 2.0;
 /// Thousandths of a core in a core.
 const MILLIS_PER_CORE: f64 = 1_000.0;
--- a/lilacpass-node/src/relay_messages.rs
+++ b/lilacpass-node/src/relay_messages.rs
@@ -156,8 +156,8 @@
     }
 }
 
-/// Decodes the response to a poll. Returns `None` if a row does not name its run: a run that is left out would count as
-/// gone, and its task would run twice.
+/// Decodes the response to a poll. Returns `None` if a row does not name its run, or if the reason of an end is
+/// unknown: a run that is left out would count as gone, and its task would run twice.
 fn read_poll_response(response: v1::RelayedAnswer) -> Option<PollResponse> {
     let running = |row: v1::RelayedRunning| {
         let (task, run) = read_run(row.run.as_ref())?;
--- a/lilacpass-node/src/relays.rs
+++ b/lilacpass-node/src/relays.rs
@@ -23,9 +23,9 @@
 };
 
 /// How long an instance is not used as a relay after a failure, in milliseconds. The time doubles with each consecutive
-/// failure: a relay that accepts orders but whose outcomes never arrive costs its workers over a second each time.
+/// failure: a relay that accepts orders but whose outcomes never arrive delays its workers by over a second each time.
 const BASE_COOLDOWN_MS: u64 = 3_000;
-/// How often the cooldown may double.
+/// How many times the cooldown may double.
 const MAX_COOLDOWN_DOUBLINGS: u32 = 5;
 /// Number of orders without a fault after which the earlier failures of an instance are forgotten.
 const RECOVERY_ORDERS: u32 = 50;
--- a/lilacpass-node/src/takeover.rs
+++ b/lilacpass-node/src/takeover.rs
@@ -145,13 +145,13 @@
 /// everything read so far. An instance with a thin link, which needs longer than [`MAX_FAILURE_TIME`] to read all jobs,
 /// never finished.
 struct RetryWindow {
-    last_response: Instant,
+    last_success: Instant,
     failing_since: Option<Instant>,
 }
 
 impl RetryWindow {
     fn new(started: Instant) -> Self {
-        Self { last_response: started, failing_since: None }
+        Self { last_success: started, failing_since: None }
     }
 
     /// Starts over after a successful call.
@@ -169,8 +169,8 @@
         let now = Instant::now();
         // A long response may have been arriving until it broke off. Of the time before this failure, no more than one
         // [`CALL_TIMEOUT`] counts as time without success.
-        let earliest = now.checked_sub(CALL_TIMEOUT).unwrap_or(self.last_response);
-        let failing_since = *self.failing_since.get_or_insert(earliest.max(self.last_response));
+        let earliest = now.checked_sub(CALL_TIMEOUT).unwrap_or(self.last_success);
+        let failing_since = *self.failing_since.get_or_insert(earliest.max(self.last_success));
         if now - failing_since > MAX_FAILURE_TIME {
             return None;
         }
--- a/lilacpass-node/tests/append.rs
+++ b/lilacpass-node/tests/append.rs
@@ -41,8 +41,8 @@
 }
 
 /// Guards against refusing jobs for three more seconds after an outage of the store. The store had been unresponsive
-/// for four seconds. The append in progress was sent once more just before the end, and the leader waited for the
-/// response to that attempt alone.
+/// for four seconds. The append in progress was sent once more just before the end of the outage, and the leader
+/// waited for the response to that attempt alone.
 #[tokio::test(start_paused = true)]
 async fn an_append_is_stored_soon_after_an_outage_of_the_store() {
     const OUTAGE: Duration = Duration::from_millis(4_200);
--- a/lilacpass-node/tests/cluster/link.rs
+++ b/lilacpass-node/tests/cluster/link.rs
@@ -1,5 +1,5 @@
-//! A network link of an instance: forwards connections to another address on loopback, with a limited bandwidth towards
-//! the instance for all of them together, and no traffic while it is cut.
+//! A network link of an instance. It forwards connections to another address on loopback. All connections share a
+//! limited bandwidth towards the instance, and are closed once the link is cut.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
--- a/lilacpass-node/tests/cluster/mod.rs
+++ b/lilacpass-node/tests/cluster/mod.rs
@@ -18,7 +18,7 @@
 
 /// Number of workers of the cell.
 const WORKERS: usize = 2;
-/// How often the leader is queried before the test fails, and the interval between queries.
+/// Maximum number of queries for the leader, after which the test fails, and the interval between queries.
 const MAX_POLLS: u32 = 300;
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
--- a/lilacpass-node/tests/cut_off.rs
+++ b/lilacpass-node/tests/cut_off.rs
@@ -17,12 +17,12 @@
 use tokio::{task, time};
 
 const FIRST_PORT: u16 = 22_850;
-/// How often a condition is checked before the test fails, and the interval between checks.
+/// Maximum number of checks of a condition, after which the test fails, and the interval between checks.
 const MAX_POLLS: u32 = 300;
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Requests the number of pending jobs over a new connection, and returns the head of the response.
-fn request_pending_count(address: &str) -> String {
+fn request_pending(address: &str) -> String {
     get(address, &format!("/{}/", QUEUES[0].name))
 }
 
@@ -59,8 +59,8 @@
 }
 
 /// Guards against telling clients that query the state of their jobs that there is no leader while the store is
-/// unresponsive to all instances. Instances that the store had answered just before tried to take over, and sent the
-/// leader no heartbeats until their store calls had failed.
+/// unresponsive to all instances. Instances that had received a response of the store shortly before tried to take
+/// over. They sent the leader no heartbeats until their store calls had failed.
 #[test]
 fn job_states_are_served_while_the_store_is_unresponsive() {
     const REQUESTS: u32 = 60;
@@ -104,7 +104,7 @@
     let mut head = String::new();
     for _ in 0..MAX_POLLS {
         let to = address.to_owned();
-        head = task::spawn_blocking(move || request_pending_count(&to)).await.expect("a result");
+        head = task::spawn_blocking(move || request_pending(&to)).await.expect("a result");
         if is_expected(&head) {
             return;
         }
--- a/lilacpass-node/tests/desired_relay.rs
+++ b/lilacpass-node/tests/desired_relay.rs
@@ -18,20 +18,20 @@
 use tokio::{runtime, task, time};
 
 /// Size of a large desired state.
-const STATE: Bytes = Bytes(800_000);
+const STATE_SIZE: Bytes = Bytes(800_000);
 /// Bandwidth of a link of 10 Mbit/s.
 const THIN: BytesPerSecond = BytesPerSecond(1_250_000);
 
 /// Guards against an instance whose link is full for ten seconds, so that its responses to heartbeats are late. When a
-/// data centre is cut off from the store, all of its instances request the desired state from the one that they can
-/// reach at the same time.
+/// data centre is cut off from the store, all of its instances request the desired state at the same time from the one
+/// instance that they can reach.
 #[test]
 fn desired_states_fill_half_of_a_thin_link() {
     let pacing = Pacing::default();
-    assert_eq!(pacing.reserve(STATE, THIN, 1_000), None);
-    assert_eq!(pacing.reserve(STATE, THIN, 1_000), Some(1_280));
-    assert_eq!(pacing.reserve(STATE, THIN, 2_000), Some(280));
-    assert_eq!(pacing.reserve(STATE, THIN, 2_280), None);
+    assert_eq!(pacing.reserve(STATE_SIZE, THIN, 1_000), None);
+    assert_eq!(pacing.reserve(STATE_SIZE, THIN, 1_000), Some(1_280));
+    assert_eq!(pacing.reserve(STATE_SIZE, THIN, 2_000), Some(280));
+    assert_eq!(pacing.reserve(STATE_SIZE, THIN, 2_280), None);
 }
 
 /// Guards against transferring a desired state twice over the same thin link, from the store and from another instance,
@@ -39,16 +39,16 @@
 #[test]
 fn peers_are_not_asked_while_the_store_may_still_be_sending() {
     let thinnest = BytesPerSecond(250_000);
-    assert!(desired_relay::store_wait(STATE, thinnest) > thinnest.time_for(STATE));
+    assert!(desired_relay::store_wait(STATE_SIZE, thinnest) > thinnest.time_for(STATE_SIZE));
     let fast = BytesPerSecond(125_000_000);
-    assert!(desired_relay::store_wait(STATE, fast).as_millis() < 1_000);
+    assert!(desired_relay::store_wait(STATE_SIZE, fast).as_millis() < 1_000);
 }
 
 #[test]
 fn a_link_of_unknown_bandwidth_is_not_limited() {
     let pacing = Pacing::default();
-    assert_eq!(pacing.reserve(STATE, BytesPerSecond(0), 1_000), None);
-    assert_eq!(pacing.reserve(STATE, BytesPerSecond(0), 1_000), None);
+    assert_eq!(pacing.reserve(STATE_SIZE, BytesPerSecond(0), 1_000), None);
+    assert_eq!(pacing.reserve(STATE_SIZE, BytesPerSecond(0), 1_000), None);
 }
 
 fn node() -> Rc<Node> {
--- a/lilacpass-node/tests/desired_watch.rs
+++ b/lilacpass-node/tests/desired_watch.rs
@@ -37,12 +37,14 @@
     let last = if uptime < down { 1 } else { VERSIONS };
     let from = received.query.split('&').find_map(|part| part.strip_prefix("from="));
     let Some(from) = from else {
-        // A request without a position asks for the newest record of each key.
+        // A request without a position asks for the newest record of each key. The first one must be answered before
+        // the outage starts.
         time::sleep(TRANSFER_TIME.min(down / 2)).await;
         return newest(last);
     };
     let from: u64 = from.parse().expect("a position");
     if from >= last {
+        // A read from the end waits, and returns nothing if no record is written meanwhile.
         time::sleep(down).await;
         return read(Bytes::new(), last);
     }
--- a/lilacpass-node/tests/registry_watch.rs
+++ b/lilacpass-node/tests/registry_watch.rs
@@ -101,7 +101,7 @@
     assert!(!registered.has_missing());
 }
 
-/// An entry that was removed without a record is missing from one full read, and from the next.
+/// An entry that was removed without a record counts as gone only once two full reads in a row lack it.
 #[test]
 fn a_worker_that_vanishes_is_gone_after_two_full_reads() {
     let mut registered = RegisteredWorkers::default();
--- a/lilacpass-node/tests/relay_messages.rs
+++ b/lilacpass-node/tests/relay_messages.rs
@@ -57,7 +57,7 @@
 }
 
 /// Guards against running a task twice: a damaged response did not name a run, and the leader considered that run
-/// gone.
+/// gone. A response with an unknown reason of an end is rejected as well.
 #[test]
 fn a_poll_response_with_a_row_without_a_run_is_rejected() {
     let mut sent = relay_messages::poll_outcome(4, Ok(poll_response()));
--- a/lilacpass-node/tests/relay_state.rs
+++ b/lilacpass-node/tests/relay_state.rs
@@ -77,14 +77,14 @@
 #[test]
 fn a_failed_relay_loses_its_orders_at_once_and_its_workers_move() {
     let mut sim = Simulation::new(both_candidates);
-    let (number, sent) = sim.enqueue_poll("a:1");
-    let (_, earlier) = sim.enqueue_poll("a:1");
+    let (number, rejected) = sim.enqueue_poll("a:1");
+    let (_, accepted) = sim.enqueue_poll("a:1");
     assert_eq!(sim.relays.take_batch("a:1").map(|orders| orders.len()), Some(2));
     let (_, unsent) = sim.enqueue_poll("a:1");
     assert_eq!(sim.relay_for("w-1", "a").as_deref(), Some("a:1"));
     sim.relays.fail("a:1", &[number], Verdict::NotRun, sim.now_ms);
-    assert_eq!(lost_verdict(sent), Some(Verdict::NotRun));
-    assert_eq!(lost_verdict(earlier), Some(Verdict::MayHaveRun));
+    assert_eq!(lost_verdict(rejected), Some(Verdict::NotRun));
+    assert_eq!(lost_verdict(accepted), Some(Verdict::MayHaveRun));
     assert_eq!(lost_verdict(unsent), Some(Verdict::NotRun));
     assert_eq!(sim.relay_for("w-1", "a").as_deref(), Some("b:1"));
     sim.review(both_candidates());
--- a/lilacpass-node/tests/relays.rs
+++ b/lilacpass-node/tests/relays.rs
@@ -21,7 +21,7 @@
 
 const FIRST_PORT: u16 = 24_500;
 const CPU_SHARES: [f64; 3] = [0.001; 3];
-/// How often a condition is checked before the test fails, and the interval between checks.
+/// Maximum number of checks of a condition, after which the test fails, and the interval between checks.
 const MAX_POLLS: u32 = 300;
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a job may take. It may have to wait for leases of up to twelve seconds to expire.
--- a/lilacpass-node/tests/thin_links.rs
+++ b/lilacpass-node/tests/thin_links.rs
@@ -23,7 +23,7 @@
 /// Number of queues of a large desired state, and its minimum size in the store.
 const MANY_QUEUES: usize = 4_245;
 const MIN_BYTES: usize = 750_000;
-/// How often a condition is checked before the test fails, and the interval between checks.
+/// Maximum number of checks of a condition, after which the test fails, and the interval between checks.
 const MAX_POLLS: u32 = 100;
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
--- a/lilacpass-node/tests/thin_store.rs
+++ b/lilacpass-node/tests/thin_store.rs
@@ -138,7 +138,7 @@
 
 /// Guards against a cell that has no leader for a long time. Reading all jobs over a thin link takes longer than the
 /// two seconds for which calls may keep failing. That time was counted from the start of the read, so the first refusal
-/// after it discarded all pages, and the next attempt started over.
+/// after those two seconds discarded all pages, and the next attempt started over.
 #[test]
 fn a_late_refusal_does_not_restart_a_long_read() {
     run(async {
