--- a/lilacpass-node/src/frontend.rs
+++ b/lilacpass-node/src/frontend.rs
@@ -56,7 +56,8 @@
 }
 
 /// Whether there is a leader that accepts jobs, which requires that it can reach the store. Clients of a data centre
-/// that is cut off are better served by another one. They are redirected there once no instance of this one is ready.
+/// that is cut off are better served by another data centre. They are redirected there once no instance of their own is
+/// ready.
 fn has_leader(node: &Node) -> bool {
     if node.leads() {
         node.store_failing_ms() < MAX_READY_UNRESPONSIVE_MS
--- a/lilacpass-node/src/handover.rs
+++ b/lilacpass-node/src/handover.rs
@@ -72,11 +72,11 @@
 
     /// Asks the most suitable peer that has not been asked yet to take over. Returns whether it did.
     async fn ask_any(&mut self) -> bool {
-        self.ask_peer_with(0).await
+        self.ask_peer_with_cpu(0).await
     }
 
     /// Asks a peer with at least this CPU limit, in thousandths of a core, to take over. Returns whether it did.
-    async fn ask_peer_with(&mut self, min_cpu_millis: u32) -> bool {
+    async fn ask_peer_with_cpu(&mut self, min_cpu_millis: u32) -> bool {
         let Some(address) = self.choose_peer(min_cpu_millis) else {
             self.asked.clear();
             return false;
@@ -92,7 +92,7 @@
             return false;
         }
         log::info!(own_cpu_millis; "handing over to a larger instance");
-        self.ask_peer_with(own_cpu_millis + 1).await
+        self.ask_peer_with_cpu(own_cpu_millis + 1).await
     }
 
     /// A peer that is alive, not about to stop, and not asked yet. Peers that reach the store are preferred to others,
--- a/lilacpass-node/src/leader_loop.rs
+++ b/lilacpass-node/src/leader_loop.rs
@@ -252,9 +252,9 @@
         self.node.relays.borrow_mut().review(capacity, candidates.collect(), now_ms);
     }
 
-    /// Counts an order to a worker, and returns its relay, or `None` to send it directly. Workers that failed to respond
-    /// lately are called directly, because it may be the relay that cannot reach them.
-    fn relay_for(&self, worker: &WorkerName, payload_bytes: usize) -> orders::Route {
+    /// Counts an order to a worker, and returns its relay, or `None` to send it directly. Workers that failed to
+    /// respond lately are called directly, because it may be the relay that cannot reach them.
+    fn route_order(&self, worker: &WorkerName, payload_bytes: usize) -> orders::Route {
         let mut relays = self.node.relays.borrow_mut();
         relays.count_order(payload_bytes);
         if relays.is_empty() {
@@ -302,7 +302,7 @@
                     wait_ms,
                     response_timeout_ms: answer_ms,
                 };
-                let route = if extra { None } else { self.relay_for(&worker, 0) };
+                let route = if extra { None } else { self.route_order(&worker, 0) };
                 let node = self.node.clone();
                 let epoch = self.epoch;
                 self.spawn(async move {
@@ -324,7 +324,7 @@
                 checkpoint,
                 ticket,
             } => {
-                let route = self.relay_for(&worker, payload.len());
+                let route = self.route_order(&worker, payload.len());
                 let node = self.node.clone();
                 let epoch = self.epoch;
                 self.spawn(async move {
@@ -344,7 +344,7 @@
                 });
             }
             Effect::Stop { worker, address, task, run } => {
-                let route = self.relay_for(&worker, 0);
+                let route = self.route_order(&worker, 0);
                 let node = self.node.clone();
                 let epoch = self.epoch;
                 self.spawn(async move {
--- a/lilacpass-node/src/node.rs
+++ b/lilacpass-node/src/node.rs
@@ -112,9 +112,9 @@
     pub metrics: Metrics,
 }
 
-/// How long the leader considers the store reachable after a response of the store, in milliseconds. The leader's
-/// renewals receive several responses a second; the watch for the desired state alone receives at least one every two
-/// seconds.
+/// How long the leader considers the store reachable after a response of the store, in milliseconds. Its renewals
+/// receive several responses a second. Without them, the watch for the desired state receives at least one every two
+/// seconds, for which [`FOLLOWER_STORE_REACHABLE_MS`] allows.
 const STORE_REACHABLE_MS: u64 = 900;
 
 impl Node {
--- a/lilacpass-node/src/peers.rs
+++ b/lilacpass-node/src/peers.rs
@@ -59,8 +59,8 @@
             Err(err) => Err(err),
         },
         PROMOTE_PATH => match decode::<v1::PeerHello>(&received.body) {
-            Ok(former) => {
-                election::take_over_on_request(&node, former.leaving).await;
+            Ok(former_leader) => {
+                election::take_over_on_request(&node, former_leader.leaving).await;
                 Ok(leadership_view(&node).encode_to_vec())
             }
             Err(err) => Err(err),
@@ -255,8 +255,8 @@
     address: &str,
     timeout: Duration,
 ) -> Result<v1::PeerHelloReply> {
-    let former = v1::PeerHello { leaving: node.is_leaving(), ..Default::default() };
-    post(node, address, PROMOTE_PATH, &former, timeout).await
+    let former_leader = v1::PeerHello { leaving: node.is_leaving(), ..Default::default() };
+    post(node, address, PROMOTE_PATH, &former_leader, timeout).await
 }
 
 /// Result of forwarding a request to the leader.
--- a/lilacpass-node/src/registry_watch.rs
+++ b/lilacpass-node/src/registry_watch.rs
@@ -15,7 +15,7 @@
 
 use crate::{leader_handle::Message, metrics, node::Node, registered_workers::RegisteredWorkers};
 
-/// Interval between reads. A worker must not get any starts later than 2 s after it reports that it is draining.
+/// Interval between reads. A worker must receive no start later than 2 s after it reports that it is draining.
 const CHANGES_INTERVAL: Duration = Duration::from_millis(500);
 /// Timeout of a store call. The store's slowest responses take 0.6 s.
 const TIMEOUT: Duration = Duration::from_millis(1_000);
--- a/lilacpass-node/src/relay_client.rs
+++ b/lilacpass-node/src/relay_client.rs
@@ -9,7 +9,7 @@
 
 use crate::{clock, node::Node, peers, relay_messages::Order, relays::RelayResult};
 
-/// Interval between two messages to a relay. Orders that are decided meanwhile share the next one.
+/// Interval between two messages to a relay. Orders that are queued meanwhile share the next message.
 const MESSAGE_INTERVAL: Duration = Duration::from_millis(15);
 /// Timeout for a relay's confirmation of a message. A relay confirms a message before it executes the orders in it.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(400);
--- a/lilacpass-node/src/takeover.rs
+++ b/lilacpass-node/src/takeover.rs
@@ -167,8 +167,8 @@
     ) -> Option<()> {
         log::info!(what = call, error:% = err; "store call during a take-over failed");
         let now = Instant::now();
-        // A long response may have been arriving until it broke off. Of the time before this failure, no more than one
-        // [`CALL_TIMEOUT`] counts as time without success.
+        // A long response may have been arriving until it broke off. Of the time before the first failure, no more than
+        // one [`CALL_TIMEOUT`] therefore counts as time without success.
         let earliest = now.checked_sub(CALL_TIMEOUT).unwrap_or(self.last_success);
         let failing_since = *self.failing_since.get_or_insert(earliest.max(self.last_success));
         if now - failing_since > MAX_FAILURE_TIME {
--- a/lilacpass-node/tests/orders.rs
+++ b/lilacpass-node/tests/orders.rs
@@ -68,8 +68,8 @@
     let uncertain: OrderResult = Err(CallError::Failed(Verdict::MayHaveRun));
     for refusal in [Refusal::Old, Refusal::Room, Refusal::Ticket, Refusal::Unhealthy] {
         let refused: OrderResult = Err(CallError::Refused(refusal));
-        let lost = Some((400, uncertain.clone()));
-        assert_eq!(send(&[lost, Some((5, refused))]), (uncertain.clone(), 2));
+        let timed_out = Some((400, uncertain.clone()));
+        assert_eq!(send(&[timed_out, Some((5, refused))]), (uncertain.clone(), 2));
     }
 }
 
