--- a/lilacpass-jobs/tests/jobs.rs
+++ b/lilacpass-jobs/tests/jobs.rs
@@ -247,7 +247,7 @@
     }
 }
 
-/// Guards against a healthy task that fails because of one coincidence.
+/// Guards against a job that fails because workers happened to crash while they ran a healthy task.
 #[test]
 fn an_explained_crash_or_a_single_one_does_not_fail_the_job() {
     let mut job = new_job(vec![step_plan(1, vec![])]);
--- a/lilacpass-jobs/tests/records.rs
+++ b/lilacpass-jobs/tests/records.rs
@@ -118,7 +118,7 @@
     assert_eq!(decoded.checkpoint(names[0]), job.checkpoint(names[0]));
 }
 
-/// Guards against a state that the store always refuses because workers crashed during each of many tasks.
+/// Guards against a state that is longer than the store accepts, because it names the crashed workers of many tasks.
 #[test]
 fn a_state_with_many_crashes_fits_a_record() {
     let step = v1::WorkStep { count: 4_000, ..Default::default() };
--- a/lilacpass-lab/src/arrivals.rs
+++ b/lilacpass-lab/src/arrivals.rs
@@ -79,7 +79,7 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let length_ms = (scenario.length_s * 1_000.0) as u64;
     let mut arrivals = Vec::new();
-    for (number, class) in scenario.classes.iter().enumerate() {
+    for (class_index, class) in scenario.classes.iter().enumerate() {
         let mut at_ms = 0.0;
         loop {
             let rate = class.rate * burst_factor(scenario, at_ms as u64);
@@ -88,14 +88,14 @@
             if at_ms as u64 >= length_ms {
                 break;
             }
-            arrivals.push(generate_one(&mut rng, at_ms as u64, number, class));
+            arrivals.push(generate_one(&mut rng, at_ms as u64, class_index, class));
         }
     }
     arrivals.sort_by_key(|arrival| (arrival.at_ms, arrival.key));
     arrivals
 }
 
-fn generate_one(rng: &mut StdRng, at_ms: u64, number: usize, class: &Class) -> Arrival {
+fn generate_one(rng: &mut StdRng, at_ms: u64, class_index: usize, class: &Class) -> Arrival {
     let (min_factor, max_factor) = WORK_FACTORS;
     let work_ms = (0..class.steps)
         .map(|_| {
@@ -106,7 +106,7 @@
                 .collect()
         })
         .collect();
-    Arrival { at_ms, key: JobKey(rng.random()), class: number, work_ms }
+    Arrival { at_ms, key: JobKey(rng.random()), class: class_index, work_ms }
 }
 
 /// Returns the factor by which bursts increase the rate of jobs at a time.
--- a/lilacpass-lab/src/model_worker.rs
+++ b/lilacpass-lab/src/model_worker.rs
@@ -132,7 +132,8 @@
         self.runs.values().fold(Resources::ZERO, |sum, run| sum.plus(&run.need))
     }
 
-    /// Returns the time at which the next run ends or the leases expire, or `None` if there are no runs.
+    /// Returns the time at which the first of the current runs ends or the leases expire, or `None` if there are no
+    /// runs.
     pub fn next_ms(&self) -> Option<u64> {
         let end_ms = self.runs.values().map(|run| run.ends_ms).min()?;
         Some(end_ms.min(self.lease_until_ms))
--- a/lilacpass-lab/src/outcome.rs
+++ b/lilacpass-lab/src/outcome.rs
@@ -23,9 +23,9 @@
     pub in_time: u32,
     /// Number of jobs completed late, but within the limit for late jobs; see `scenario::Class::stretch`.
     pub late: u32,
-    /// Number of accepted jobs that failed, never completed, or completed even later than the late ones.
+    /// Number of accepted jobs that failed, never completed, or completed after the limit for late jobs.
     pub lost: u32,
-    /// Number of jobs that were refused until their callers gave up.
+    /// Number of jobs that were not accepted before their callers gave up or the simulation ended.
     pub refused: u32,
     /// Earned fraction of the total worth of the jobs, from 0 to 1.
     pub worth: f64,
@@ -48,7 +48,7 @@
     pub classes: Vec<ClassOutcome>,
     /// Fraction of the processors in use, sampled every second.
     pub use_by_s: Vec<f64>,
-    /// Lost worth, by the second in which the job was submitted.
+    /// Worth that jobs did not earn, by the second in which they were submitted.
     pub lost_by_s: Vec<f64>,
     /// Number of waiting steps, sampled every second.
     pub waiting_by_s: Vec<u64>,
@@ -192,7 +192,7 @@
     }
 }
 
-/// Returns the worth that a job earned, and the counter of its class that it belongs to.
+/// Returns the worth that a job earned, and the counter of its class in which it is counted.
 fn score(
     scenario: &Scenario,
     arrival: &Arrival,
--- a/lilacpass-lab/src/report.rs
+++ b/lilacpass-lab/src/report.rs
@@ -32,8 +32,8 @@
         policies
     }
 
-    /// Returns a table with one row per policy. Worths, use and lost work are means over the seeds; `least` is the
-    /// lowest worth of a seed, and the 99th percentiles are the highest of all seeds.
+    /// Returns a table with one row per policy. Worths, `use` and `thrown away` are means over the seeds; `least` is
+    /// the lowest worth of a seed, and the 99th percentiles are the highest of all seeds.
     pub fn table(&self) -> String {
         let mut table = Table::new();
         table.load_style(presets::NOTHING);
--- a/lilacpass-lab/src/services.rs
+++ b/lilacpass-lab/src/services.rs
@@ -22,8 +22,8 @@
     Some((scenario.store.append_ms as f64 * factor) as u64)
 }
 
-/// Returns the duration of a call of the advice service, and its advice or `None` if the service does not respond. The
-/// advice for the same step and worker is always the same.
+/// Returns the duration of a call of the advice service, and the advice, which is `None` if the service does not
+/// respond. The advice for the same step and worker is always the same.
 pub fn advise(
     scenario: &Scenario,
     step: StepName,
--- a/lilacpass-lab/src/worker_faults.rs
+++ b/lilacpass-lab/src/worker_faults.rs
@@ -21,8 +21,8 @@
 const ORDER_TIMEOUT_MS: u64 = 400;
 
 impl Simulation<'_> {
-    /// Returns whether a task crashes each worker that starts it. This is the first task of some of the jobs that are
-    /// submitted during the fault.
+    /// Returns whether a task crashes each worker that starts it. Only the first task of a job can do so, for some of
+    /// the jobs that are submitted while a fault of the kind `CrashingTasks` is active.
     pub(crate) fn is_crashing_task(&self, job: usize, task: TaskName) -> bool {
         let arrival = &self.arrivals[job];
         let is_first = task.step.step == 0 && task.index == 0;
