--- a/lilacpass-core/src/ids.rs
+++ b/lilacpass-core/src/ids.rs
@@ -129,7 +129,7 @@
     AttemptNo
 }
 number_id! {
-    /// A request within one process, from its arrival to its response.
+    /// Identifies a request within one process, from its arrival to its response.
     RequestId
 }
 
--- a/lilacpass-fuzz/src/lib.rs
+++ b/lilacpass-fuzz/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! Two environment variables make a run longer:
 //!
-//! - `LILACPASS_FUZZ_SEEDS=n` tries at least `n` fixed seeds, and never fewer than the test itself requests.
+//! - `LILACPASS_FUZZ_SEEDS=n` tries `n` fixed seeds, or as many as the test itself requests if that is more.
 //! - `LILACPASS_FUZZ_SECONDS=n` replaces the fixed seeds by bolero's random search, which takes `n` seconds per test
 //!   and shrinks failing values.
 
--- a/lilacpass-jobs/src/job.rs
+++ b/lilacpass-jobs/src/job.rs
@@ -350,8 +350,8 @@
         self.fail(Failure { task: name, cause: Cause::Crashes, count }, unix_ms)
     }
 
-    /// Returns the task that counts failed runs and crashes. All members of a gang use the first one, because they
-    /// fail together.
+    /// Returns the task in whose state the failed runs and crashes of a task are counted: the task itself, or the first
+    /// one of its gang, because the members of a gang fail together.
     fn counting_task(&self, name: TaskName) -> TaskName {
         if self.step_plan(name.step.step).gang { name.step.task(0) } else { name }
     }
@@ -361,8 +361,8 @@
         self.task(self.counting_task(name)).is_some_and(|task| task.crashes.is_suspect())
     }
 
-    /// Removes the crashes of a task after a run that lasted so long that the task can't have caused them. Returns
-    /// whether anything changed.
+    /// Removes the crashes counted against a task, after a run of it has lasted so long that it can't have caused them.
+    /// Returns whether anything changed.
     pub fn clear_crashes(&mut self, name: TaskName) -> bool {
         let counting = self.counting_task(name);
         self.task_mut(counting).is_some_and(|task| task.crashes.clear())
--- a/lilacpass-jobs/src/plan.rs
+++ b/lilacpass-jobs/src/plan.rs
@@ -6,9 +6,9 @@
 
 use crate::error::{Error, Result};
 
-/// Maximum length of a payload. The platform accepts no longer payload for a task.
+/// Maximum length of a payload. The platform refuses a longer payload of a task.
 pub const MAX_PAYLOAD_BYTES: usize = 4_000;
-/// Maximum number of steps of a job. Far above what clients use; bounds memory for hostile input.
+/// Maximum number of steps of a job. Far above what clients use; bounds the memory that hostile input can take.
 pub const MAX_STEPS: usize = 100;
 /// Maximum number of tasks of a job in all steps and occurrences. Keeps the state of a job within one record of the
 /// store: a running task takes 48 to 63 bytes, depending on the lengths of the names of its worker and data centre.
--- a/lilacpass-jobs/src/record.rs
+++ b/lilacpass-jobs/src/record.rs
@@ -92,8 +92,8 @@
     record.encode_to_vec()
 }
 
-/// Clears the checkpoints that are longer than an equal share of the available bytes. The store refuses a longer
-/// record, and the append that contains it would be retried forever and block all later appends.
+/// Clears the checkpoints that are longer than an equal share of the available bytes. The store refuses a record that
+/// is too long, and the append that contains it would be retried forever and block all later appends.
 fn drop_long_checkpoints(record: &mut v1::StateRecord) {
     let checkpoint_bytes: usize = record.tasks.iter().map(|task| task.checkpoint.len()).sum();
     let other_bytes = record.encoded_len() - checkpoint_bytes;
