--- a/lilacpass-lead/src/polling.rs
+++ b/lilacpass-lead/src/polling.rs
@@ -20,9 +20,9 @@
 /// Maximum pause between two polls of an unresponsive worker, in multiples of the retry pause.
 const MAX_RETRY_PAUSES: u64 = 4;
 
-/// Maximum polls per second, over all workers, of workers that list ends which are not stored yet. Without it, a
-/// leader of hundreds of workers would spend its time on polls while the store is slow. 48 workers get one poll each
-/// in 0.16 s.
+/// Maximum rate of polls, over all workers, while their listed ends are not stored yet. Without it, a leader of
+/// hundreds of workers would spend its time on polls while the store is slow. At this rate, a cell of 48 workers polls
+/// each of them every 0.16 s.
 const MAX_POLLS_PER_SECOND_WHILE_STORING: u64 = 300;
 
 impl Leader {
@@ -61,7 +61,7 @@
                 }
                 if !extra {
                     // Polls again at once after the first failure: perhaps only the response was lost, and the leader
-                    // learns of the ends that it listed only from the next one.
+                    // learns of the ends in it only from the response to the next poll.
                     let pauses = u64::from(worker.failed_polls - 1).min(MAX_RETRY_PAUSES);
                     worker.poll = PollState::Due { at_ms: now.steady_ms + retry_pause_ms * pauses };
                 }
@@ -162,7 +162,7 @@
         self.outbox.when_stored(OnStored::ForgetEnds { worker: name.clone(), up_to });
     }
 
-    /// Updates, after a run has ended, the evidence against its worker and the workers on which its job has failed.
+    /// After a run has ended, updates the evidence against its worker and the list of workers on which its job failed.
     pub(crate) fn update_worker_health(
         &mut self,
         name: &WorkerName,
@@ -238,8 +238,8 @@
         }
     }
 
-    /// Stops an orphaned run, which the leader no longer tracks: it was ended for another reason, or its start was
-    /// carried out late. It occupies capacity of the worker until it has ended.
+    /// Stops an orphaned run, which the leader no longer tracks: the leader has already counted it as ended, or its
+    /// start was carried out late. It occupies capacity of the worker until it has ended.
     fn stop_orphaned_run(&mut self, name: &WorkerName, key: RunKey, now: Now) {
         let need = self.need_of(key.0);
         let Some(worker) = self.workers.get_mut(name) else { return };
@@ -269,7 +269,7 @@
         for (key, phase) in unlisted {
             match phase {
                 Phase::Recording | Phase::Ordered => {}
-                // Since the first poll of its successor, the worker refuses start orders of a former leader.
+                // The worker has answered a poll of this leader, so it refuses start orders of former leaders now.
                 Phase::Uncertain { .. } if is_first_response => {
                     self.end_never_started(name, key, now);
                 }
--- a/lilacpass-lead/src/preempt.rs
+++ b/lilacpass-lead/src/preempt.rs
@@ -34,7 +34,7 @@
 }
 
 impl Leader {
-    /// Returns whether any open job was less urgent than this step at the last review.
+    /// Returns whether any open job was less urgent than this step when the leader last compared the open jobs.
     pub(crate) fn may_preempt_any(&self, name: StepName) -> bool {
         let entry = self.jobs.get(&name.job);
         entry.is_some_and(|entry| entry.job.queue.priority < self.least_urgent_priority)
--- a/lilacpass-lead/src/pressure.rs
+++ b/lilacpass-lead/src/pressure.rs
@@ -18,7 +18,7 @@
 const ON_TIME_DELAY_MS: u64 = 5;
 /// Number of ticks that the mean is taken over.
 const MEAN_TICKS: usize = 4;
-/// Maximum delay in ms that one tick adds to the mean, so that a single late tick does not indicate overload. A leader
+/// Limit in ms on the delay of each tick in the mean, so that a single late tick does not indicate overload. A leader
 /// that was suspended has one late tick and then keeps up.
 const MAX_COUNTED_DELAY_MS: u64 = 60;
 /// Initial number of steps that a round may examine. Cells that are merely full have fewer waiting steps.
@@ -29,18 +29,18 @@
 /// New jobs are refused while the number of unexamined changed steps is at least the greatest of three limits. The
 /// first limit is the number of steps that this many rounds may examine.
 const MAX_BACKLOG_ROUNDS: u64 = 2;
-/// The second limit is the number of steps that the leader has recently examined in this time in ms. Work beyond that
-/// would be accepted only to wait.
+/// The second limit is the number of steps that the leader examines in this time in ms at its recent rate. Work beyond
+/// that would be accepted only to wait.
 const MAX_BACKLOG_MS: u64 = 250;
 /// The third limit is this number of changed steps, because a single job may have some tens of steps.
 const MIN_BACKLOG_LIMIT: u64 = 64;
 /// Weight of a tick in the moving average of examined steps per second, which covers about half a second.
 const RATE_WEIGHT: f64 = 0.1;
-/// New jobs are refused when ticks are late by the first value in ms, and accepted again below the second one. All
-/// events wait for this long, and clients with short jobs notice.
+/// New jobs are refused when ticks are late by the first value in ms, and accepted again below the second one. Every
+/// event waits as long as the ticks are late, and clients with short jobs notice.
 const REFUSE_DELAY_MS: (u64, u64) = (700, 300);
-/// The same limits in ms for a scan of all waiting steps, which may delay an accepted job for this long in addition to
-/// its wait for capacity.
+/// The corresponding limits in ms for a scan of all waiting steps, which may delay an accepted job for this long in
+/// addition to its wait for capacity.
 const REFUSE_SCAN_MS: (u64, u64) = (2_000, 1_000);
 /// Time in ms without signs of overload until the leader counts as keeping up again.
 const RECOVERY_MS: u64 = 1_000;
--- a/lilacpass-lead/src/progress.rs
+++ b/lilacpass-lead/src/progress.rs
@@ -6,8 +6,8 @@
 
 /// Minimum time without progress after which a run is stalled: two regular polls.
 const MIN_STALL_MS: u64 = 1_700;
-/// Minimum time without progress as a percentage of the estimated run time, since a long run takes long for one
-/// percent.
+/// The same minimum as a percentage of the estimated run time, because a long run needs a long time for each percent of
+/// progress.
 const MIN_STALL_PERCENT: u64 = 15;
 /// Minimum time over which the pace of a run is measured.
 const MIN_PACE_TIME_MS: u64 = 500;
--- a/lilacpass-lead/src/reindex.rs
+++ b/lilacpass-lead/src/reindex.rs
@@ -18,7 +18,8 @@
         self.reindex_steps(key, |_| true, now);
     }
 
-    /// Updates the job if only tasks of one step have changed: that step, and those that may depend on it.
+    /// Like `reindex`, for a job of which only tasks of one step have changed. While the job is open, this updates only
+    /// that step and those that may depend on it.
     pub(crate) fn reindex_step(&mut self, changed: StepName, now: Now) {
         let is_open = |entry: &JobEntry| entry.job.outcome == Outcome::Open;
         if !self.jobs.get(&changed.job).is_some_and(is_open) {
--- a/lilacpass-lead/src/requests.rs
+++ b/lilacpass-lead/src/requests.rs
@@ -105,7 +105,7 @@
         self.pressure.check_refusal(self.pending_changes.changed_step_count(), now)
     }
 
-    /// Refuses a job, of which nothing has been done, because the leader is behind.
+    /// Refuses a job because the leader is behind. Nothing has been done for the job yet.
     fn refuse_while_behind(&mut self, request_id: RequestId, key: JobKey, retry_after_ms: u32) {
         let reason = "the leader is behind";
         log::info!(job:% = key, reason, behind_ms = self.pressure.behind_ms(); "job refused");
@@ -204,7 +204,7 @@
         self.outbox.when_stored(OnStored::Reply(request_id, Response::Done));
     }
 
-    /// Responds with the number of jobs of a queue of which no task has started.
+    /// Responds with the number of open, stored jobs of a queue that no worker has started.
     fn respond_with_pending(&mut self, request_id: RequestId, queue: &str, now: Now) {
         if !self.is_leadership_certain(now) {
             return self.refuse_unconfirmed(request_id, now);
--- a/lilacpass-lead/src/reservations.rs
+++ b/lilacpass-lead/src/reservations.rs
@@ -133,7 +133,7 @@
         self.by_step.contains_key(&step)
     }
 
-    /// Returns the capacity that is reserved on a worker for steps that come before `rank`.
+    /// Returns the capacity that is reserved on a worker for other steps and that the step with `rank` can't use.
     pub fn reserved_before(&self, rank: &Rank, worker: &WorkerName) -> Resources {
         if self.by_worker.is_empty() {
             return Resources::ZERO;
--- a/lilacpass-lead/src/response_loss.rs
+++ b/lilacpass-lead/src/response_loss.rs
@@ -27,8 +27,8 @@
         self.lost_at_ms.push_back(now_ms);
     }
 
-    /// Forgets all lost responses. For a leader that is late itself: the responses waited in its own queue, and more
-    /// polls would delay it further until no worker seems to respond.
+    /// Forgets all lost responses, for use when the leader itself is late: the responses waited in its own queue, and
+    /// more polls would delay it further until no worker seems to respond.
     pub fn clear(&mut self) {
         self.lost_at_ms.clear();
     }
--- a/lilacpass-lead/src/rounds.rs
+++ b/lilacpass-lead/src/rounds.rs
@@ -6,10 +6,10 @@
     event::Now, leader::Leader, pending_changes::RoundScope, rank::Rank, schedule::WorkerScope,
 };
 
-/// The number of steps that a round may examine is divided by this to get the limit for changed steps in scheduling
-/// order, and the limit for the scan.
+/// While a scan is active, changed steps and the scan each get the number of steps that a round may examine, divided by
+/// this.
 const CHANGED_STEPS_DIVISOR: u64 = 2;
-/// The same number is divided by this to get the limit of requests for advice for those changed steps.
+/// Requests for advice for the changed steps may examine as many steps as a round, divided by this.
 const CHANGED_ADVICE_DIVISOR: u64 = 4;
 
 impl Leader {
--- a/lilacpass-lead/src/run_ends.rs
+++ b/lilacpass-lead/src/run_ends.rs
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Drops the advice about a step, and the entries for it in the allowed steps of each worker.
+    /// Drops the advice about a step, and removes the step from the allowed steps of each worker that it allows.
     fn forget_advice(&mut self, step: StepName) {
         let Some(advice) = self.advice.remove(&step) else { return };
         for worker in advice.allowed() {
--- a/lilacpass-lead/src/waiting.rs
+++ b/lilacpass-lead/src/waiting.rs
@@ -130,7 +130,8 @@
         self.order.range(..rank).next_back().copied()
     }
 
-    /// Returns the steps of which no task has been assigned since `since_ms` or longer, longest waiting first.
+    /// Returns the steps that have waited since `since_ms` or longer without a task being assigned, longest waiting
+    /// first.
     pub fn waiting_since(&self, since_ms: u64) -> Vec<StepName> {
         let long_waiting = self.steps.iter().filter(|(_, entry)| entry.since_ms <= since_ms);
         let mut steps: Vec<(u64, StepName)> =
--- a/lilacpass-lead/src/worker.rs
+++ b/lilacpass-lead/src/worker.rs
@@ -277,8 +277,8 @@
         self.registration.capacity.minus(&self.used)
     }
 
-    /// Capacity that would be free once runs that occupy `freed` have ended: zero if the worker has shrunk below what
-    /// would still run there.
+    /// Capacity that would be free once runs that occupy `freed` have ended. A resource of which the remaining runs
+    /// occupy more than the worker now has counts as zero.
     pub fn free_capacity_after(&self, freed: &Resources) -> Resources {
         self.registration.capacity.minus(&self.used.minus(freed))
     }
