--- a/lilacpass-lead/src/schedule.rs
+++ b/lilacpass-lead/src/schedule.rs
@@ -301,8 +301,8 @@
         entry.job.plan.steps.get(task.step.step as usize)
     }
 
-    /// Stops the filling tasks on a worker that could otherwise run a task of this step, which has a latency target. That
-    /// task would have to wait for as long as they run.
+    /// Stops the filling tasks on a worker that could otherwise run a task of this step, which has a latency target.
+    /// That task would have to wait for as long as they run.
     fn stop_filling_tasks(&mut self, name: StepName, plan: &v1::WorkStep, now: Now) {
         let Some(entry) = self.jobs.get(&name.job) else { return };
         let service = &entry.job.queue.service;
--- a/lilacpass-lead/tests/advice_queue.rs
+++ b/lilacpass-lead/tests/advice_queue.rs
@@ -8,7 +8,8 @@
     Rank { priority: 1, late_from_ms, step }
 }
 
-/// Returns the jobs of the queued steps whose job queue may make a call, in order.
+/// Returns, in order, the jobs of the queued steps that may request advice now. `may_call` receives the name of a job
+/// queue and the duration of its calls.
 fn callable(queue: &AdviceQueue, may_call: impl Fn(&str, u64) -> bool) -> Vec<u64> {
     let mut last = None;
     let next = || {
--- a/lilacpass-lead/tests/capacity_index.rs
+++ b/lilacpass-lead/tests/capacity_index.rs
@@ -16,7 +16,7 @@
 const CHANGES: u64 = 2_000;
 
 fn worker(number: u64) -> Worker {
-    let entry = Registration {
+    let registration = Registration {
         name: WorkerName::from(format!("w-{number:02}").as_str()),
         address: String::new(),
         data_centre: DATA_CENTRES[number as usize % DATA_CENTRES.len()].to_owned(),
@@ -25,7 +25,7 @@
         labels: Vec::new(),
         draining: false,
     };
-    let mut worker = Worker::new(entry, 0);
+    let mut worker = Worker::new(registration, 0);
     (worker.registered, worker.accepted_epoch) = (true, true);
     worker
 }
@@ -54,7 +54,7 @@
 }
 
 /// Workers get and lose runs, and are added and removed. A worker that is missing from the index, or indexed with an
-/// outdated free capacity, would stay idle or be named in calls for nothing.
+/// outdated free capacity, would stay idle or be named in needless requests for advice.
 #[test]
 fn the_index_agrees_with_a_scan_of_all_workers() {
     let mut workers = BTreeMap::new();
--- a/lilacpass-lead/tests/cell_regressions.rs
+++ b/lilacpass-lead/tests/cell_regressions.rs
@@ -136,7 +136,7 @@
 }
 
 /// Failure: most jobs were late while a data centre was cut off. Each has ten tasks, and with tasks spread over the
-/// whole cell nearly every job has one there. If each job stays in one data centre, two of three jobs are not affected.
+/// whole cell nearly every job has a task there. If each job stays in one data centre, two in three are unaffected.
 #[test]
 fn the_tasks_of_a_job_run_in_one_data_centre() {
     let mut world = World::new(5, 12, Resources::new(8_000, 1_000, 0, 0));
--- a/lilacpass-lead/tests/crashing_tasks.rs
+++ b/lilacpass-lead/tests/crashing_tasks.rs
@@ -56,9 +56,9 @@
     }
 }
 
-/// How long a job took, without the time of its runs that failed by themselves.
+/// How long a job took, less an allowance for runs that failed although their worker did not crash.
 fn duration_ms(world: &World, key: JobKey) -> u64 {
-    /// A failed run of a quick job, including the time until its end is stored.
+    /// Time allowed for a failed run of a quick job, until its end is stored.
     const FAILED_RUN_MS: u64 = 1_000;
     let job = world.store.job(key).expect("it is stored");
     let failed = world.workers.iter().flat_map(|worker| &worker.failed);
@@ -119,11 +119,11 @@
     for speculative in [false, true] {
         let crashing = v1::WorkStep { speculative, ..step(4, 1_000, 1_000) };
         let world = run_beside_quick_jobs(crashing, CRASH_DELAY_MS);
-        let mut duration_ms =
+        let mut durations_ms =
             QUICK_JOBS.map(|key| duration_ms(&world, JobKey(key))).collect::<Vec<u64>>();
-        duration_ms.sort_unstable();
-        assert!(duration_ms[duration_ms.len() * 9 / 10] <= UNDISTURBED_MS, "{duration_ms:?}");
-        assert!(duration_ms[duration_ms.len() - 1] <= CRASH_AFFECTED_MS, "{duration_ms:?}");
+        durations_ms.sort_unstable();
+        assert!(durations_ms[durations_ms.len() * 9 / 10] <= UNDISTURBED_MS, "{durations_ms:?}");
+        assert!(durations_ms[durations_ms.len() - 1] <= CRASH_AFFECTED_MS, "{durations_ms:?}");
         let crash_affected = world.crashes.affected.iter().map(|task| task.step.job);
         let crash_affected: BTreeSet<JobKey> = crash_affected.collect();
         for job in QUICK_JOBS.map(JobKey).filter(|job| !crash_affected.contains(job)) {
@@ -183,7 +183,7 @@
     assert_failed_by_crashes(&mut world);
 }
 
-/// Workers crashed by some tasks must not count as the explanation of those crashed by others while leaders change.
+/// While leaders change, the crashes that one task causes must not be explained away by another crashing task.
 #[test]
 fn crashing_tasks_are_given_up_while_leaders_change() {
     for seed in 1..30 {
@@ -232,7 +232,7 @@
     assert_eq!(outcome(&world, 2), Some(Outcome::Open));
 }
 
-/// A healthy job must not fail because its worker is cut off, each time for longer than its lease.
+/// A healthy job must not fail because its worker is cut off again and again, each time for longer than its lease.
 #[test]
 fn work_on_workers_that_are_cut_off_is_not_given_up() {
     let mut world = twelve_workers(5);
@@ -351,8 +351,8 @@
     }
 }
 
-/// A healthy job must not fail because of one accidental crash, in addition to the crashes for which the job of its
-/// neighbour has failed.
+/// The crashes for which the job of a neighbour has failed must not count against a healthy job as well, which would
+/// then fail for a single accidental crash in addition.
 #[test]
 fn crashes_of_a_task_that_was_given_up_do_not_count_against_its_neighbours() {
     const NEIGHBOUR: u64 = 2;
--- a/lilacpass-lead/tests/fuzz.rs
+++ b/lilacpass-lead/tests/fuzz.rs
@@ -27,7 +27,7 @@
 /// An operation of a run: its kind, its target and its amount.
 type Op = (u8, u8, u8);
 
-/// Carries out operations in a simulated cell, ends all faults, and checks that all jobs end then.
+/// Carries out operations in a simulated cell, then ends all faults and checks that all jobs end.
 fn run_ops(ops: &[Op]) {
     let seed = ops.iter().fold(7, |seed: u64, op| {
         seed.wrapping_mul(31)
--- a/lilacpass-lead/tests/overload.rs
+++ b/lilacpass-lead/tests/overload.rs
@@ -9,8 +9,8 @@
 use lilacpass_lead::event::{Request, RequestId, Response};
 use world::{World, cost::Costs, plan, queue, step};
 
-/// With these costs a job of these tests takes the leader about 10 ms: one step examined, two starts and two ends.
-/// Polls of 60 idle workers take a tenth of its time.
+/// With these costs, the leader spends about 10 ms on each job of these tests: it examines one step and processes two
+/// starts and two ends. Polls of 60 idle workers take a tenth of its time.
 const COSTS: Costs = Costs { event_us: 200, poll_us: 1_000, step_us: 4_000, request_us: 50 };
 const WORKERS: usize = 60;
 /// Number of jobs per second that the leader can schedule in addition to its polls.
@@ -129,8 +129,9 @@
     test_overload(20);
 }
 
-/// As above, with jobs that a former leader accepted long ago and for which there is no free capacity. Examining them
-/// all takes `times` the interval between two full rounds. Each waiting job should start as capacity becomes free.
+/// Like [`test_overload`], but with a backlog of jobs for which there is no free capacity. They are accepted at no
+/// cost, as if by a former leader. Examining them all takes `times` times the interval between two full rounds. Each
+/// waiting job should start as capacity becomes free.
 fn test_backlog(times: u64) {
     /// Interval between the leader's full rounds.
     const FULL_ROUND_INTERVAL_US: u64 = 100_000;
@@ -168,8 +169,8 @@
     test_backlog(20);
 }
 
-/// Creates a cell in which all workers are full and one becomes free every `freed_interval_ms` from now on. `backlog`
-/// tasks wait that need `cpu_milli`, as much as the running ones. A worker has 8,000 thousandths of a core.
+/// Creates a cell in which all workers are full and one becomes free every `freed_interval_ms` from now on. Another
+/// `backlog` tasks wait. All tasks, running or waiting, need `cpu_milli`; a worker has 8,000 thousandths of a core.
 fn full_cell(cpu_milli: u32, freed_interval_ms: u64, backlog: u64) -> World {
     /// By this time the leader has adapted the number of steps that a round may examine.
     const FIRST_END_MS: u64 = 3_000;
--- a/lilacpass-lead/tests/world/cost.rs
+++ b/lilacpass-lead/tests/world/cost.rs
@@ -17,7 +17,7 @@
     pub event_us: u64,
     /// A poll: one half when it is sent, the other when its result is processed.
     pub poll_us: u64,
-    /// One step for which workers with free capacity, or workers to request advice about, are searched for.
+    /// The search, for one step, for workers with free capacity or for workers to request advice about.
     pub step_us: u64,
     /// A client's request with its response.
     pub request_us: u64,
--- a/lilacpass-lead/tests/world/mod.rs
+++ b/lilacpass-lead/tests/world/mod.rs
@@ -210,7 +210,7 @@
         self.deliver(instance, Event::WorkerUnregistered(self.workers[worker_index].name.clone()));
     }
 
-    /// Sets the number of instances that can request advice.
+    /// Sets the number of lanes for requests for advice.
     pub fn set_lanes(&mut self, count: usize) {
         let instance = self.instances.len() - 1;
         let lanes = (0..count).map(|lane| Lane(format!("lane-{lane:02}"))).collect();
@@ -461,7 +461,8 @@
                         Action::AnswerPoll { instance, worker_index, effect, sent_ms: now_ms };
                     return self.schedule(wait_ms, answer);
                 }
-                // A poll is answered when a run ends. Without operation costs, this is after part of its wait.
+                // Without operation costs, the answer shows the present state and arrives after the poll's wait, which
+                // is limited to 100 ms. A real worker answers as soon as a run ends.
                 let wait_ms = (*wait_ms).min(100);
                 let event = Event::Polled {
                     worker: worker.clone(),
--- a/lilacpass-lead/tests/world/worker.rs
+++ b/lilacpass-lead/tests/world/worker.rs
@@ -58,13 +58,13 @@
     pub done: BTreeSet<TaskName>,
     /// Tasks of which a run failed here, once for each failed run.
     pub failed: Vec<TaskName>,
-    /// Tasks that were done here and whose end is stored, since the leader let the worker forget it.
+    /// Tasks that were done here and whose end is known to be stored, because the leader let the worker forget it.
     pub stored_done: BTreeSet<TaskName>,
     epoch: u64,
     lease_until_ms: u64,
     ends: Vec<ReportedEnd>,
     next_end: u64,
-    /// Number of the last end when a lease last expired. Ends up to this one may be stored too late, after the task
+    /// Number of the newest end when a lease last expired. Ends up to this one may be stored too late, after the task
     /// was started elsewhere.
     last_end_at_expiry: u64,
     /// Number of the last run of each task that ended or was stopped here.
