--- a/lilacpass-lead/tests/crashing_tasks.rs
+++ b/lilacpass-lead/tests/crashing_tasks.rs
@@ -119,11 +119,11 @@
     for speculative in [false, true] {
         let crashing = v1::WorkStep { speculative, ..step(4, 1_000, 1_000) };
         let world = run_beside_quick_jobs(crashing, CRASH_DELAY_MS);
-        let mut durations_ms =
+        let mut duration_ms =
             QUICK_JOBS.map(|key| duration_ms(&world, JobKey(key))).collect::<Vec<u64>>();
-        durations_ms.sort_unstable();
-        assert!(durations_ms[durations_ms.len() * 9 / 10] <= UNDISTURBED_MS, "{durations_ms:?}");
-        assert!(durations_ms[durations_ms.len() - 1] <= CRASH_AFFECTED_MS, "{durations_ms:?}");
+        duration_ms.sort_unstable();
+        assert!(duration_ms[duration_ms.len() * 9 / 10] <= UNDISTURBED_MS, "{duration_ms:?}");
+        assert!(duration_ms[duration_ms.len() - 1] <= CRASH_AFFECTED_MS, "{duration_ms:?}");
         let crash_affected = world.crashes.affected.iter().map(|task| task.step.job);
         let crash_affected: BTreeSet<JobKey> = crash_affected.collect();
         for job in QUICK_JOBS.map(JobKey).filter(|job| !crash_affected.contains(job)) {
