--- a/lilacpass-lead/src/advance_reservations.rs
+++ b/lilacpass-lead/src/advance_reservations.rs
@@ -118,7 +118,7 @@
     ) -> Vec<Offer> {
         let advice = self.advice.get(&name);
         let verdict =
-            |worker: &Worker| advice.and_then(|advice| advice.verdict(&worker.registration.name));
+            |worker: &Worker| advice.and_then(|advice| advice.allows(&worker.registration.name));
         self.workers
             .values()
             .filter(|worker| {
--- a/lilacpass-lead/src/advice.rs
+++ b/lilacpass-lead/src/advice.rs
@@ -70,7 +70,7 @@
     }
 
     /// Returns whether a worker may run the step; `None` if that is unknown.
-    pub fn verdict(&self, worker: &WorkerName) -> Option<bool> {
+    pub fn allows(&self, worker: &WorkerName) -> Option<bool> {
         self.verdicts.get(worker).copied()
     }
 
--- a/lilacpass-lead/src/advice_requests.rs
+++ b/lilacpass-lead/src/advice_requests.rs
@@ -77,7 +77,7 @@
             return;
         }
         self.work.steps_examined += 1;
-        self.choose_home(name, &plan, now);
+        self.choose_home_data_centre(name, &plan, now);
         let Some(entry) = self.jobs.get(&name.job) else { return };
         let share = self.allowed_shares.get(&entry.job.queue.name).copied();
         let demand = AdviceDemand {
@@ -155,7 +155,7 @@
                 && !worker.draining
                 && need.fits(&worker.registration.capacity)
                 && place::is_eligible(worker, &entry.job.queue.service, plan)
-                && advice.is_none_or(|advice| advice.verdict(&worker.registration.name).is_none())
+                && advice.is_none_or(|advice| advice.allows(&worker.registration.name).is_none())
                 && !queried.contains(&worker.registration.name)
         };
         let max = max.min(MAX_WORKERS_PER_CALL.saturating_sub(queried.len()));
@@ -187,8 +187,8 @@
         let margin_ms = self.options.ticket_margin_ms;
         let advice = self.advice.entry(step).or_default();
         advice.record_response(queried, response, margin_ms, now.steady_ms);
-        let is_forbidden = |worker: &WorkerName| advice.verdict(worker) == Some(false);
-        for worker in queried.iter().filter(|worker| advice.verdict(worker) == Some(true)) {
+        let is_forbidden = |worker: &WorkerName| advice.allows(worker) == Some(false);
+        for worker in queried.iter().filter(|worker| advice.allows(worker) == Some(true)) {
             self.allowed_steps.entry(worker.clone()).or_default().insert(step);
         }
         if self.reservations.workers_of(step).iter().any(is_forbidden) {
--- a/lilacpass-lead/src/candidates.rs
+++ b/lilacpass-lead/src/candidates.rs
@@ -209,7 +209,7 @@
 impl Search<'_> {
     /// Returns whether the worker is known to be allowed to run the step; `None` if that is unknown.
     fn verdict(&self, worker: &WorkerName) -> Option<bool> {
-        self.advice.and_then(|advice| advice.verdict(worker))
+        self.advice.and_then(|advice| advice.allows(worker))
     }
 }
 
--- a/lilacpass-lead/src/place.rs
+++ b/lilacpass-lead/src/place.rs
@@ -69,7 +69,7 @@
 /// The tasks of a job are kept in one data centre, because a job completes only with its last task. If one of three
 /// data centres is cut off, a third of the running jobs are delayed. If tasks were spread over all workers, nearly
 /// every job with ten tasks would be delayed.
-pub fn choose_home<'a>(
+pub fn choose_home_data_centre<'a>(
     workers: impl Iterator<Item = &'a Worker>,
     step: &v1::WorkStep,
 ) -> Option<String> {
--- a/lilacpass-lead/src/schedule.rs
+++ b/lilacpass-lead/src/schedule.rs
@@ -109,7 +109,7 @@
         }
         let plan = entry.job.step_plan(name.step).clone();
         self.work.steps_examined += 1;
-        self.choose_home(name, &plan, now);
+        self.choose_home_data_centre(name, &plan, now);
         let mut hosts = self.available_hosts(name, &plan, subset, now);
         let home_is_unusable =
             subset.is_none() && !hosts.is_empty() && !hosts.iter().any(|host| host.score.at_home);
@@ -179,7 +179,12 @@
     /// Chooses the home data centre of a job, in which all its tasks should run, unless it has one. Long-running tasks
     /// are spread instead, because their job does not wait for a last task to complete: each one that is lost counts by
     /// itself.
-    pub(crate) fn choose_home(&mut self, name: StepName, plan: &v1::WorkStep, now: Now) {
+    pub(crate) fn choose_home_data_centre(
+        &mut self,
+        name: StepName,
+        plan: &v1::WorkStep,
+        now: Now,
+    ) {
         let Some(entry) = self.jobs.get(&name.job) else { return };
         if entry.home_data_centre.is_some() || plan.lasting || !self.options.uses(Mechanism::Home) {
             return;
@@ -189,7 +194,7 @@
             worker.accepts_starts(now.steady_ms) && place::is_eligible(worker, service, plan)
         };
         let fitting = self.workers_fitting(service, &place::need(plan));
-        let home = place::choose_home(fitting.into_iter().filter(could_run), plan);
+        let home = place::choose_home_data_centre(fitting.into_iter().filter(could_run), plan);
         if let Some(entry) = self.jobs.get_mut(&name.job) {
             entry.home_data_centre = home;
         }
--- a/lilacpass-node/src/orders.rs
+++ b/lilacpass-node/src/orders.rs
@@ -57,7 +57,7 @@
             }
             Err(err)
         }
-        RelayResult::Lost(_) => {
+        RelayResult::NoOutcome(_) => {
             Box::pin(node.workers.poll(target, PollOrder { wait_ms: 0, ..poll })).await
         }
     }
@@ -114,9 +114,9 @@
     match relay_client::execute(node, relay, order, workers::ORDER_TIMEOUT).await {
         RelayResult::Outcome(Ok(_)) => Ok(()),
         RelayResult::Outcome(Err(CallError::Failed(Verdict::NotRun)))
-        | RelayResult::Lost(Verdict::NotRun) => send().await,
+        | RelayResult::NoOutcome(Verdict::NotRun) => send().await,
         RelayResult::Outcome(Err(err)) => Err(err),
-        RelayResult::Lost(_) => Err(CallError::Failed(Verdict::MayHaveRun)),
+        RelayResult::NoOutcome(_) => Err(CallError::Failed(Verdict::MayHaveRun)),
     }
 }
 
--- a/lilacpass-node/src/relay_client.rs
+++ b/lilacpass-node/src/relay_client.rs
@@ -25,16 +25,16 @@
     execution_timeout: Duration,
 ) -> RelayResult {
     let enqueued = node.relays.borrow_mut().enqueue(address, order);
-    let Some((number, receiver)) = enqueued else { return RelayResult::Lost(Verdict::NotRun) };
+    let Some((number, receiver)) = enqueued else { return RelayResult::NoOutcome(Verdict::NotRun) };
     if node.relays.borrow_mut().begin_sending(address) {
         tokio::task::spawn_local(send_queue(node.clone(), address.clone()));
     }
     match time::timeout(execution_timeout + RELAY_OVERHEAD, receiver).await {
         Ok(Ok(result)) => result,
-        Ok(Err(_)) => RelayResult::Lost(Verdict::MayHaveRun),
+        Ok(Err(_)) => RelayResult::NoOutcome(Verdict::MayHaveRun),
         Err(_) => {
             node.relays.borrow_mut().record_timeout(number);
-            RelayResult::Lost(Verdict::MayHaveRun)
+            RelayResult::NoOutcome(Verdict::MayHaveRun)
         }
     }
 }
--- a/lilacpass-node/src/relays.rs
+++ b/lilacpass-node/src/relays.rs
@@ -47,8 +47,8 @@
     /// The relay reported the outcome of the order, which may be a failure; for a poll that succeeded, it contains the
     /// worker's response.
     Outcome(Result<Option<PollResponse>, CallError>),
-    /// The relay reported no outcome. The verdict says whether the order may have been executed.
-    Lost(Verdict),
+    /// The relay reported no outcome, or the order was not sent. The verdict says whether it may have been executed.
+    NoOutcome(Verdict),
 }
 
 /// An instance that relays orders.
@@ -224,7 +224,7 @@
     /// Reports to the waiting tasks that the relay will report no outcome for these orders.
     fn report_lost(&mut self, numbers: &[u64], verdict: Verdict) {
         for pending in numbers.iter().filter_map(|number| self.pending.remove(number)) {
-            pending.deliver(RelayResult::Lost(verdict));
+            pending.deliver(RelayResult::NoOutcome(verdict));
         }
     }
 
--- a/lilacpass-node/tests/relay_state.rs
+++ b/lilacpass-node/tests/relay_state.rs
@@ -59,7 +59,7 @@
 
 fn lost_verdict(mut receiver: oneshot::Receiver<RelayResult>) -> Option<Verdict> {
     match receiver.try_recv() {
-        Ok(RelayResult::Lost(verdict)) => Some(verdict),
+        Ok(RelayResult::NoOutcome(verdict)) => Some(verdict),
         Ok(RelayResult::Outcome(_)) | Err(_) => None,
     }
 }
